--- a/src/entry/AdmissionStage.ts
+++ b/src/entry/AdmissionStage.ts
@@ -1,11 +1,14 @@
-/** Third stage: turns failures of the admitter into errors that the caller understands. */
+/** Third stage of the request pipeline: checks the rate and burst of the client account. */
 import type { Admitter, AdmitFailure } from '../admission/Admitter.js';
 import { Err, Ok, type Result } from '../common/Result.js';
 import type { ClientAccount } from '../gen/redwingwharf/v1/state_pb.js';
-import { refuse, type IHttpFailure } from './Failures.js';
+import { createRefusal, type IHttpFailure } from './Failures.js';
 import type { IAdmission, IAdmitter } from './Types.js';
 
-/** Admits requests through the wallet of this entry. */
+/**
+ * Reserves the tokens of a request with the `Admitter` of this entry and converts its failures to HTTP
+ * errors for the caller.
+ */
 export class AdmissionStage implements IAdmitter {
   constructor(private readonly _admitter: Admitter) {}
 
@@ -34,7 +37,7 @@
   const message =
     `The request may take ${tokens} tokens and the burst of your client account is ` +
     `${account.burstTokens}; lower "max_tokens" or ask the operator for a larger burst.`;
-  return refuse('request_too_costly', message);
+  return createRefusal('request_too_costly', message);
 }
 
 function describeFailure(
@@ -45,15 +48,15 @@
   switch (failure.kind) {
     case 'rate_limited': {
       const message = 'Your client account has used up its rate; try again after Retry-After.';
-      return refuse('rate_limited', message, failure.retryAfterMs);
+      return createRefusal('rate_limited', message, failure.retryAfterMs);
     }
     case 'too_costly':
       return describeTooCostly(tokens, account);
     case 'control_unavailable': {
       const message = 'The rate of your client account cannot be checked now; try again.';
-      return refuse('control_unavailable', message, failure.retryAfterMs);
+      return createRefusal('control_unavailable', message, failure.retryAfterMs);
     }
     case 'aborted':
-      return refuse('request_timeout', 'The request ended before it was admitted.');
+      return createRefusal('request_timeout', 'The request ended before it was admitted.');
   }
 }
--- a/src/entry/Authenticate.test.ts
+++ b/src/entry/Authenticate.test.ts
@@ -53,18 +53,18 @@
     expect(authenticateWith({ 'x-api-key': KEY.text }, '', 0, true)).toBe('key_invalid');
   });
 
-  it('refuses a key with another secret', () => {
+  it('refuses a key with a wrong secret', () => {
     const other = createCallerKey('pag').text.split('_')[2] ?? '';
     const key = `rww_${KEY.record.keyId}_${other}`;
     expect(authenticateWith({ 'x-api-key': key })).toBe('key_invalid');
   });
 
-  it('does not choose between two different keys', () => {
+  it('refuses a request with two different keys', () => {
     const headers = { 'x-api-key': KEY.text, authorization: 'Bearer other' };
     expect(authenticateWith(headers)).toBe('key_ambiguous');
   });
 
-  it('serves no key once its copy may miss a withdrawal', () => {
+  it('refuses all keys as soon as the copy of the configuration may miss a withdrawn key', () => {
     const headers = { 'x-api-key': KEY.text };
     expect(authenticateWith(headers, '', FRESHNESS_LIMIT_MS - 1)).toBe('pag');
     expect(authenticateWith(headers, '', FRESHNESS_LIMIT_MS)).toBe('freshness_unknown');
@@ -72,7 +72,7 @@
 });
 
 describe('stripKeyFromQuery', () => {
-  it('keeps a key out of the path that a target sees', () => {
+  it('removes the key from the query that is forwarded to a target', () => {
     const url = new URL(`http://x/stock?api_key=${KEY.text}&row=3`);
     expect(stripKeyFromQuery(url)).toBe('/stock?row=3');
   });
--- a/src/entry/WholeAnswer.ts
+++ b/src/entry/BufferedAnswer.ts
@@ -1,4 +1,4 @@
-/** Sends answers that are buffered, so that the caller gets all of one or a typed error. */
+/** Sends buffered answers, so that a caller gets either a complete answer or a typed error. */
 import type { ServerResponse } from 'node:http';
 
 /** Sends a complete answer. */
--- a/src/entry/Chooser.ts
+++ b/src/entry/Chooser.ts
@@ -1,4 +1,4 @@
-/** Fifth stage: chooses a target through the service's policy. */
+/** Fifth stage of the request pipeline: chooses a target by the routing policy of the service. */
 import { encodeHex, signHmac } from '../common/Hashes.js';
 import type { IDisposable } from '../common/Lifecycle.js';
 import { isBroken } from '../common/TestSwitches.js';
@@ -14,7 +14,7 @@
 import type { IRosterTarget, Roster, RosterChange } from '../roster/Roster.js';
 import type { Receipt, TargetLoad } from '../gen/redwingwharf/v1/control_pb.js';
 
-/** What the choice depends on. */
+/** Properties of a request that the choice of its target depends on. */
 export interface IChooseInput {
   readonly requestId: string;
   readonly clientAccount: string;
@@ -24,10 +24,11 @@
   readonly prompt: Buffer;
   readonly promptTokens: number;
   readonly priority: number;
+  /** Time by the entry's clock at which the request ends. */
   readonly deadlineMs: number;
 }
 
-/** A chosen target. */
+/** A chosen target with the decision of the policy, needed to report the result to the policy. */
 export interface IChoice {
   readonly target: IRosterTarget;
   readonly view: ITargetView;
@@ -36,16 +37,20 @@
   readonly cacheSalt: string;
 }
 
+/** A routing request with the salt by which its prefix chain was hashed. */
 interface ISaltedRequest {
   readonly cacheSalt: string;
   readonly routeRequest: IRouteRequest;
 }
 
-/** Joins the roster with one policy for each service. */
+/**
+ * Chooses targets. Holds one routing policy for each service, gives it the targets of the roster, and
+ * reports to it how dispatches ended and what the targets announce about their caches.
+ */
 export class Chooser implements IDisposable {
   private readonly _policies = new Map<string, IRoutingPolicy>();
-  /** Hashing the prompt is the longest part of a choice, so a retry uses the chain again. */
-  private readonly _routeRequests = new WeakMap<IChooseInput, ISaltedRequest>();
+  /** Caches the prefix chain for retries, because hashing the prompt takes most of the time of a choice. */
+  private readonly _routeRequestCache = new WeakMap<IChooseInput, ISaltedRequest>();
   private readonly _subscription: IDisposable;
 
   constructor(
@@ -63,11 +68,15 @@
     this._subscription.dispose();
   }
 
-  /** Chooses among the targets that were not tried yet; undefined when there is none. */
-  public choose(input: IChooseInput, tried: ReadonlySet<string>, now: number): IChoice | undefined {
+  /** Chooses among the targets that were not tried yet; undefined if none is suitable. */
+  public choose(
+    input: IChooseInput,
+    triedTargets: ReadonlySet<string>,
+    now: number,
+  ): IChoice | undefined {
     const targets = this._roster
       .listTargets(input.service, now)
-      .filter(({ announcement }) => isCandidate(announcement, input, tried));
+      .filter(({ announcement }) => isCandidate(announcement, input, triedTargets));
     const group = this._pickWeightsGroup(targets);
     const weightsVersion = group[0]?.announcement.weightsVersion ?? '';
     const cacheSalt = this._deriveCacheSalt(input, weightsVersion);
@@ -101,7 +110,7 @@
     this._getPolicy(service).onAnswered(requestId, answer, now);
   }
 
-  /** The target refused, because its queue is longer than the decision assumed. */
+  /** Records that the target refused because its queue is longer than the decision assumed. */
   public recordBusy(choice: IChoice, receipt: Receipt, now: number): void {
     const { service, requestId } = choice.routeRequest;
     const waitMs = receipt.load?.waitMs ?? 0;
@@ -115,17 +124,20 @@
   }
 
   private _buildRouteRequest(input: IChooseInput, cacheSalt: string): IRouteRequest {
-    const known = this._routeRequests.get(input);
-    if (known?.cacheSalt === cacheSalt) {
-      return known.routeRequest;
+    const cached = this._routeRequestCache.get(input);
+    if (cached?.cacheSalt === cacheSalt) {
+      return cached.routeRequest;
     }
     const { prompt, ...fields } = input;
     const routeRequest = { ...fields, chain: hashPrefixChain(prompt, cacheSalt) };
-    this._routeRequests.set(input, { cacheSalt, routeRequest });
+    this._routeRequestCache.set(input, { cacheSalt, routeRequest });
     return routeRequest;
   }
 
-  /** During a change of weights the groups of targets share the load by their size. */
+  /**
+   * Picks the targets of one weights version. While the weights are being changed, each version gets a
+   * share of the requests in proportion to its number of targets.
+   */
   private _pickWeightsGroup(targets: readonly IRosterTarget[]): IRosterTarget[] {
     const picked = targets[Math.floor(this._random() * targets.length)];
     return targets.filter(
@@ -133,7 +145,10 @@
     );
   }
 
-  /** Client accounts and weights versions never share a salt, so they never share cache entries. */
+  /**
+   * Each client account, model and weights version has its own salt, so that they never share cache
+   * entries.
+   */
   private _deriveCacheSalt(input: IChooseInput, weightsVersion: string): string {
     TEST_ONLY: if (isBroken('cache-salt')) return 'shared';
     const scope = JSON.stringify([input.clientAccount, input.model, weightsVersion]);
@@ -149,7 +164,8 @@
     return policy;
   }
 
-  private _applyEvidence(policy: IRoutingPolicy | undefined, target: IRosterTarget): void {
+  /** Reports the prompt chunks that an announcement lists as evicted or used to the policy. */
+  private _applyCacheReport(policy: IRoutingPolicy | undefined, target: IRosterTarget): void {
     const { evicted, used } = target.announcement;
     if (evicted.length > 0) {
       policy?.onEvicted(describeTarget(target), evicted.map(encodeHex));
@@ -167,7 +183,7 @@
         policy?.onTargetGone(announcement.target);
         return;
       case 'announced':
-        this._applyEvidence(policy, change.target);
+        this._applyCacheReport(policy, change.target);
     }
   }
 }
@@ -175,13 +191,13 @@
 function isCandidate(
   announcement: IRosterTarget['announcement'],
   input: IChooseInput,
-  tried: ReadonlySet<string>,
+  triedTargets: ReadonlySet<string>,
 ): boolean {
   const hasModel = input.model === '' || announcement.model === input.model;
-  return hasModel && !tried.has(announcement.target);
+  return hasModel && !triedTargets.has(announcement.target);
 }
 
-/** Load of an announcement or a receipt in the form of the policies. */
+/** Converts the load in an announcement or a receipt to the type that the policies use. */
 export function convertLoad(load: TargetLoad | undefined, reportedAt: number): ILoad | undefined {
   return load === undefined
     ? undefined
--- a/src/entry/ClaimDispatch.ts
+++ b/src/entry/ClaimDispatch.ts
@@ -1,4 +1,4 @@
-/** Sends a claimed call to its sidecar and finds out what became of it. */
+/** Sends a claimed call to the sidecar that it is bound to and determines its outcome. */
 import { create } from '@bufbuild/protobuf';
 import { readAnswer, type IHttpAnswer } from '../common/HttpAnswer.js';
 import { createTimeoutSignal } from '../common/Tasks.js';
@@ -9,15 +9,18 @@
 import { createTicket, type DispatchClient } from './DispatchClient.js';
 import { pickAnswerHeaders } from './ForwardHeaders.js';
 import type { OutcomeQuery } from './OutcomeQuery.js';
-import { buildOutgoing } from './PlainFlow.js';
+import { buildOutgoingRequest } from './PlainFlow.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Dispatches of claimed calls. */
+/**
+ * Dispatches one attempt of a claimed call. If the answer does not arrive completely, it queries the
+ * sidecar for the outcome.
+ */
 export class ClaimDispatch {
   constructor(
     private readonly _chooser: Chooser,
     private readonly _client: DispatchClient,
-    private readonly _outcomes: OutcomeQuery,
+    private readonly _outcomeQuery: OutcomeQuery,
     private readonly _services: IFlowServices,
   ) {}
 
@@ -29,7 +32,7 @@
   ): Promise<ClaimOutcome> {
     const { clock, feed } = this._services;
     this._chooser.recordDispatch(choice, clock.now());
-    const outgoing = buildOutgoing(context, body);
+    const outgoing = buildOutgoingRequest(context, body);
     const outcome = await this._client.dispatch({
       ticket: createTicket(choice.target, {
         requestId: context.requestId,
@@ -46,21 +49,21 @@
       path: context.path,
       headers: outgoing.headers,
       body: outgoing.body,
-      // The caller's leaving does not break off a call whose outcome is to be recorded.
+      // Not aborted when the caller disconnects, because the outcome of the call has to be recorded.
       signal: createTimeoutSignal(context.open.deadlineAt - clock.now()),
     });
     switch (outcome.kind) {
       case 'not_run':
         this._chooser.recordFailure(choice, clock.now());
         return outcome.reason === RefusalReason.CLAIM_SEEN
-          ? this._outcomes.query(context, attempt)
+          ? this._outcomeQuery.query(context, attempt)
           : {
               kind: 'not_run',
               isOldRevision: outcome.reason === RefusalReason.OLD_REVISION,
             };
       case 'unknown':
         this._chooser.recordFailure(choice, clock.now());
-        return this._outcomes.query(context, attempt);
+        return this._outcomeQuery.query(context, attempt);
       case 'answered':
         return this._readAnswer(context, choice, attempt, outcome.response);
     }
@@ -87,7 +90,7 @@
       };
     } catch {
       this._chooser.recordFailure(choice, clock.now());
-      return this._outcomes.query(context, attempt);
+      return this._outcomeQuery.query(context, attempt);
     }
   }
 }
--- a/src/entry/ClaimFlow.ts
+++ b/src/entry/ClaimFlow.ts
@@ -1,4 +1,4 @@
-/** Calls that may run at most once: claim, dispatch, settle. */
+/** Flow of calls that must run at most once: claim, dispatch, settle. */
 import { digestSha256 } from '../common/Hashes.js';
 import { Err, Ok, type Result } from '../common/Result.js';
 import { createUnrecordedClaim, isBroken } from '../common/TestSwitches.js';
@@ -6,33 +6,39 @@
 import type { Chooser, IChoice } from './Chooser.js';
 import type { ClaimDispatch } from './ClaimDispatch.js';
 import type { ClaimSettlement } from './ClaimSettlement.js';
-import { describeUnknown, type ClaimOutcome, type IClaimAttempt } from './ClaimTypes.js';
-import { describeUnlooked, fail, refuse, sendFailure, type IHttpFailure } from './Failures.js';
+import { describeUnknownOutcome, type ClaimOutcome, type IClaimAttempt } from './ClaimTypes.js';
+import {
+  describeUncheckedClaim,
+  createFailure,
+  createRefusal,
+  sendFailure,
+  type IHttpFailure,
+} from './Failures.js';
 import type { OpenRequests } from './OpenRequests.js';
-import { describeEnd, recordPlainEnd, recordRefusal } from './Outcomes.js';
+import { describeEndReason, recordPlainEnd, recordRefusal } from './RequestOutcomes.js';
 import type { OutcomeQuery } from './OutcomeQuery.js';
-import { buildPlainInput, enterPlain } from './PlainFlow.js';
+import { buildPlainInput, admitPlainCall } from './PlainFlow.js';
 import type { QueueStage } from './QueueStage.js';
 import type { IAdmitter, IControl, IFlowServices, IRequestContext } from './Types.js';
-import { sendAnswer } from './WholeAnswer.js';
+import { sendAnswer } from './BufferedAnswer.js';
 
-/** Header by which a resend is recognised. */
+/** Header by which a repeated request is recognised. */
 export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 const REPLAYED_HEADER = 'x-rww-replayed';
 
-/** Targets on which one request may be tried after proofs of "not run". */
+/** Bindings of one request to a target; each one after the first needs a proof of "not run". */
 const MAX_BINDINGS = 4;
 
-const RETRY_IN_PROGRESS_MS = 1_000;
-const RETRY_CONTROL_MS = 2_000;
-const RETRY_NO_TARGET_MS = 1_000;
+const IN_PROGRESS_RETRY_AFTER_MS = 1_000;
+const CONTROL_RETRY_AFTER_MS = 2_000;
+const NO_TARGET_RETRY_AFTER_MS = 1_000;
 
-/** What one round of claim and dispatch led to. */
-type Step =
+/** Result of one round of claim and dispatch. */
+type ClaimRoundResult =
   | { readonly kind: 'served' }
   | { readonly kind: 'failed'; readonly failure: IHttpFailure }
-  /** The attempt is proven "not run", so another target may be bound. */
+  /** The attempt is proven "not run", so the claim may be bound to another target. */
   | {
       readonly kind: 'rebind';
       readonly attempt: number;
@@ -40,15 +46,19 @@
       readonly isOldRevision: boolean;
     };
 
-/** Serves calls of non-repeatable routes. */
+/**
+ * Serves calls of non-repeatable routes. Each call is recorded as a claim at the control leader before it
+ * is dispatched, and the claim is settled when the outcome is known. A repeated request gets the recorded
+ * answer.
+ */
 export class ClaimFlow {
   constructor(
     private readonly _admitter: IAdmitter,
     private readonly _queue: QueueStage,
     private readonly _chooser: Chooser,
     private readonly _control: IControl,
-    private readonly _dispatches: ClaimDispatch,
-    private readonly _outcomes: OutcomeQuery,
+    private readonly _claimDispatch: ClaimDispatch,
+    private readonly _outcomeQuery: OutcomeQuery,
     private readonly _settlement: ClaimSettlement,
     private readonly _openRequests: OpenRequests,
     private readonly _services: IFlowServices,
@@ -56,20 +66,20 @@
 
   public async run(context: IRequestContext, body: Buffer): Promise<void> {
     const { signal } = context.open;
-    // The call itself goes on, so that its outcome is recorded.
-    const answerEnd = (): void => {
-      this._refuse(context, describeEnd(context));
+    // Answers the caller at once; the call itself continues, so that its outcome is recorded.
+    const answerEarlyEnd = (): void => {
+      this._refuse(context, describeEndReason(context));
     };
-    signal.addEventListener('abort', answerEnd, { once: true });
+    signal.addEventListener('abort', answerEarlyEnd, { once: true });
     try {
       const result = await this._serve(context, body);
       this._refuse(context, result.err ? result.val : undefined);
     } finally {
-      signal.removeEventListener('abort', answerEnd);
+      signal.removeEventListener('abort', answerEarlyEnd);
     }
   }
 
-  /** Answers with a failure unless the caller has an answer already. */
+  /** Answers with a failure unless the response has already begun. */
   private _refuse(context: IRequestContext, failure: IHttpFailure | undefined): void {
     if (failure !== undefined && !context.response.headersSent) {
       recordRefusal(this._services, context, failure);
@@ -82,71 +92,74 @@
     body: Buffer,
   ): Promise<Result<void, IHttpFailure>> {
     if (context.caller === undefined) {
-      return Err(refuse('key_missing', 'Non-repeatable calls need a key.'));
+      return Err(createRefusal('key_missing', 'Non-repeatable calls need a key.'));
     }
     const key = context.request.headers[IDEMPOTENCY_KEY_HEADER] ?? '';
     if (typeof key !== 'string' || key.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
       const message = `Send an Idempotency-Key of at most ${MAX_IDEMPOTENCY_KEY_LENGTH} characters.`;
-      return Err(refuse('bad_request', message));
+      return Err(createRefusal('bad_request', message));
     }
-    const place = await enterPlain(this._admitter, this._queue, context, body);
-    if (place.err) {
-      return Err(key === '' ? place.val : describeUnlooked(place.val));
+    const slot = await admitPlainCall(this._admitter, this._queue, context, body);
+    if (slot.err) {
+      return Err(key === '' ? slot.val : describeUncheckedClaim(slot.val));
     }
     try {
-      return await this._runClaims(context, key, body);
+      return await this._claimAndDispatch(context, key, body);
     } finally {
-      place.val.dispose();
+      slot.val.dispose();
     }
   }
 
-  /** Claims and dispatches until the outcome is known or the targets are used up. */
-  private async _runClaims(
+  /** Claims and dispatches until the outcome is known or no further binding is allowed. */
+  private async _claimAndDispatch(
     context: IRequestContext,
     key: string,
     body: Buffer,
   ): Promise<Result<void, IHttpFailure>> {
-    const tried = new Set<string>();
+    const triedTargets = new Set<string>();
     let replacesAttempt = 0;
-    // Once an attempt is proven "not run", so is every earlier one.
-    const describe = (failure: IHttpFailure): IHttpFailure =>
-      key === '' || replacesAttempt > 0 ? failure : describeUnlooked(failure);
-    for (let count = 1; count <= MAX_BINDINGS; count++) {
+    // A proof that one attempt did not run covers all earlier attempts.
+    const describeRefusal = (failure: IHttpFailure): IHttpFailure =>
+      key === '' || replacesAttempt > 0 ? failure : describeUncheckedClaim(failure);
+    for (let binding = 1; binding <= MAX_BINDINGS; binding++) {
       const input = buildPlainInput(context, body);
-      const choice = this._chooser.choose(input, tried, this._services.clock.now());
+      const choice = this._chooser.choose(input, triedTargets, this._services.clock.now());
       if (choice === undefined) {
         const message = 'No target of this service is available; try again.';
-        return Err(describe(refuse('no_target', message, RETRY_NO_TARGET_MS)));
+        return Err(describeRefusal(createRefusal('no_target', message, NO_TARGET_RETRY_AFTER_MS)));
       }
       const claimed = await this._claim(context, key, body, choice, replacesAttempt);
       if (claimed.err) {
-        return Err(describe(claimed.val));
+        return Err(describeRefusal(claimed.val));
       }
-      const step = await this._handleClaim(context, body, choice, claimed.val);
-      if (step.kind !== 'rebind') {
-        return step.kind === 'served' ? Ok(undefined) : Err(step.failure);
+      const round = await this._handleClaim(context, body, choice, claimed.val);
+      if (round.kind !== 'rebind') {
+        return round.kind === 'served' ? Ok(undefined) : Err(round.failure);
       }
-      replacesAttempt = step.attempt;
-      await this._prepareRebind(context, step, tried);
+      replacesAttempt = round.attempt;
+      await this._prepareRebind(context, round, triedTargets);
     }
     const message = 'The targets refused the call; try again.';
-    return Err(refuse('no_target', message, RETRY_NO_TARGET_MS));
+    return Err(createRefusal('no_target', message, NO_TARGET_RETRY_AFTER_MS));
   }
 
-  /** A target that knows a newer configuration may take the call once this entry knows it too. */
+  /**
+   * Prepares the next round. A target that refused the ticket's revision as old is not excluded: it may
+   * accept the call after this entry has synchronised its configuration.
+   */
   private async _prepareRebind(
     context: IRequestContext,
-    step: Extract<Step, { kind: 'rebind' }>,
-    tried: Set<string>,
+    round: Extract<ClaimRoundResult, { kind: 'rebind' }>,
+    triedTargets: Set<string>,
   ): Promise<void> {
-    if (step.isOldRevision) {
+    if (round.isOldRevision) {
       await this._services.feedSync.syncOnce(context.open.signal).catch(() => undefined);
     } else {
-      tried.add(step.target);
+      triedTargets.add(round.target);
     }
   }
 
-  /** Commits the claim before anything is dispatched. */
+  /** Commits the claim at the control leader; nothing is dispatched before. */
   private async _claim(
     context: IRequestContext,
     idempotencyKey: string,
@@ -177,17 +190,17 @@
         },
       },
       context.open.signal,
-      // The leader recognises this request by its id, so an unknown outcome may be asked for again.
+      // The leader recognises a repeated command by the request id, so it may be sent again.
       { isIdempotent: true },
     );
     if (result.err) {
-      // Whatever became of the claim, this entry does not dispatch it.
+      // Even if the claim was committed, this entry does not dispatch it.
       const message = 'The call could not be recorded and was not dispatched; send it again.';
-      return Err(refuse('control_unavailable', message, RETRY_CONTROL_MS));
+      return Err(createRefusal('control_unavailable', message, CONTROL_RETRY_AFTER_MS));
     }
     const claim = result.val.body.case === 'claim' ? result.val.body.value : undefined;
     return claim === undefined
-      ? Err(refuse('internal', 'The control member gave an unexpected answer; report this.'))
+      ? Err(createRefusal('internal', 'The control member gave an unexpected answer; report this.'))
       : Ok(claim);
   }
 
@@ -196,7 +209,7 @@
     body: Buffer,
     choice: IChoice,
     claim: ClaimResult,
-  ): Promise<Step> {
+  ): Promise<ClaimRoundResult> {
     this._services.decisions.record(context.requestId, 'claimed', {
       claimId: String(claim.claimId),
       state: ClaimState[claim.state],
@@ -207,31 +220,37 @@
       case ClaimState.GRANTED: {
         const attempt = buildAttempt(claim, choice);
         if (context.open.signal.aborted) {
-          return { kind: 'failed', failure: describeEnd(context) ?? describeUnknown() };
+          return {
+            kind: 'failed',
+            failure: describeEndReason(context) ?? describeUnknownOutcome(),
+          };
         }
-        const outcome = await this._dispatches.dispatch(context, body, choice, attempt);
+        const outcome = await this._claimDispatch.dispatch(context, body, choice, attempt);
         return this._handleOutcome(context, attempt, outcome, false);
       }
       case ClaimState.BOUND: {
         const attempt = buildAttempt(claim, choice);
-        const outcome = await this._outcomes.query(context, attempt);
+        const outcome = await this._outcomeQuery.query(context, attempt);
         return this._handleOutcome(context, attempt, outcome, true);
       }
       case ClaimState.SETTLED:
         return this._replay(context, claim.answer);
       case ClaimState.UNKNOWN:
-        return { kind: 'failed', failure: describeUnknown() };
+        return { kind: 'failed', failure: describeUnknownOutcome() };
       case ClaimState.BODY_MISMATCH: {
         const message = 'The Idempotency-Key was used with another request; send a new key.';
-        return { kind: 'failed', failure: refuse('idempotency_key_reused', message) };
+        return { kind: 'failed', failure: createRefusal('idempotency_key_reused', message) };
       }
       case ClaimState.TABLE_FULL: {
         const message = 'The table of non-repeatable calls is full; try again later.';
-        return { kind: 'failed', failure: refuse('claims_full', message, RETRY_CONTROL_MS) };
+        return {
+          kind: 'failed',
+          failure: createRefusal('claims_full', message, CONTROL_RETRY_AFTER_MS),
+        };
       }
       case ClaimState.UNSPECIFIED: {
         const message = 'The control member gave an unexpected answer; report this.';
-        return { kind: 'failed', failure: fail('internal', message, 'unknown') };
+        return { kind: 'failed', failure: createFailure('internal', message, 'unknown') };
       }
     }
   }
@@ -241,7 +260,7 @@
     attempt: IClaimAttempt,
     outcome: ClaimOutcome,
     isReplay: boolean,
-  ): Promise<Step> {
+  ): Promise<ClaimRoundResult> {
     TEST_ONLY: if (isBroken('rebind-proof') && outcome.kind !== 'answered')
       outcome = { kind: 'not_run', isOldRevision: false };
     switch (outcome.kind) {
@@ -255,21 +274,30 @@
         };
       case 'running': {
         const message = 'The call is in progress; send it again with the same Idempotency-Key.';
-        const failure = fail('in_progress', message, 'unknown', RETRY_IN_PROGRESS_MS);
+        const failure = createFailure(
+          'in_progress',
+          message,
+          'unknown',
+          IN_PROGRESS_RETRY_AFTER_MS,
+        );
         return { kind: 'failed', failure };
       }
       case 'unreachable':
-        return { kind: 'failed', failure: describeUnknown() };
+        return { kind: 'failed', failure: describeUnknownOutcome() };
       case 'lost':
         await this._settlement.settle(attempt, undefined);
-        return { kind: 'failed', failure: describeUnknown() };
+        return { kind: 'failed', failure: describeUnknownOutcome() };
     }
   }
 
-  private async _replay(context: IRequestContext, answer: Answer | undefined): Promise<Step> {
+  /** Answers a repeated request with the recorded answer. */
+  private async _replay(
+    context: IRequestContext,
+    answer: Answer | undefined,
+  ): Promise<ClaimRoundResult> {
     if (answer === undefined || answer.bodyOmitted) {
       const message = 'The call ran; its answer is no longer on record.';
-      return { kind: 'failed', failure: fail('answer_not_kept', message, 'yes') };
+      return { kind: 'failed', failure: createFailure('answer_not_kept', message, 'yes') };
     }
     return this._respond(context, answer, true);
   }
@@ -278,10 +306,10 @@
     context: IRequestContext,
     answer: Answer,
     isReplay: boolean,
-  ): Promise<Step> {
+  ): Promise<ClaimRoundResult> {
     this._openRequests.checkRequest(context.open, this._services.clock.now());
     await context.open.waitReleased();
-    const end = describeEnd(context);
+    const end = describeEndReason(context);
     if (end !== undefined) {
       return { kind: 'failed', failure: { ...end, ran: 'yes' } };
     }
@@ -292,6 +320,7 @@
   }
 }
 
+/** The attempt to dispatch or query: the recorded binding, or the chosen target if there is none. */
 function buildAttempt(claim: ClaimResult, choice: IChoice): IClaimAttempt {
   const { announcement } = choice.target;
   const chosen = {
--- a/src/entry/ClaimTypes.ts
+++ b/src/entry/ClaimTypes.ts
@@ -1,28 +1,28 @@
-/** Types of the flow of non-repeatable calls. */
+/** Types that the modules for non-repeatable calls share. */
 import type { Answer, ClaimBinding } from '../gen/redwingwharf/v1/state_pb.js';
-import { fail, type IHttpFailure } from './Failures.js';
+import { createFailure, type IHttpFailure } from './Failures.js';
 
-/** What is known of a bound attempt. */
+/** Outcome of an attempt that is bound to a sidecar, as far as it is known. */
 export type ClaimOutcome =
   | { readonly kind: 'answered'; readonly answer: Answer }
   | { readonly kind: 'not_run'; readonly isOldRevision: boolean }
   | { readonly kind: 'running' }
-  /** The outcome may still become known. */
+  /** The sidecar does not answer; the outcome may still become known. */
   | { readonly kind: 'unreachable' }
-  /** The outcome can never become known. */
+  /** The sidecar no longer knows the outcome, so it can never become known. */
   | { readonly kind: 'lost' };
 
-/** Attempt of a claim at one sidecar. */
+/** One attempt of a claim, bound to one sidecar incarnation. */
 export interface IClaimAttempt {
   readonly claimId: bigint;
   readonly attempt: number;
   readonly binding: ClaimBinding;
 }
 
-/** Failure of a call whose outcome cannot be told. */
-export function describeUnknown(): IHttpFailure {
+/** Failure of a call whose outcome is unknown. */
+export function describeUnknownOutcome(): IHttpFailure {
   const message =
     'It is not known whether the call ran. It will not be run again under this Idempotency-Key; ' +
     'check with the service.';
-  return fail('outcome_unknown', message, 'unknown');
+  return createFailure('outcome_unknown', message, 'unknown');
 }
--- a/src/entry/ClientErrors.ts
+++ b/src/entry/ClientErrors.ts
@@ -1,13 +1,13 @@
-/** Responses to what Node's HTTP parser refuses before there is a request object. */
+/** Raw responses to input that Node's HTTP parser rejects before it creates a request object. */
 import { randomUUID } from 'node:crypto';
-import { formatFailure, refuse, type IHttpFailure } from './Failures.js';
+import { formatFailure, createRefusal, type IHttpFailure } from './Failures.js';
 
-/** Largest head of a request. */
+/** Maximum size of a request's head. */
 export const MAX_HEADER_BYTES = 16 * 1024;
 
 /**
- * Response to a request that Node's parser refused before there was a request object. It may have carried
- * an Idempotency-Key, so "not run" cannot be said of the call.
+ * Formats the response to input that the parser rejected with an error code. The input may have contained
+ * an Idempotency-Key of a call that ran earlier, so `x-rww-ran` is `unknown`.
  */
 export function formatClientError(errorCode: string | undefined): string {
   const { status, failure } = describeClientError(errorCode);
@@ -24,16 +24,19 @@
       const message = `Send at most ${MAX_HEADER_BYTES} bytes of headers.`;
       return {
         status: '431 Request Header Fields Too Large',
-        failure: refuse('header_too_large', message),
+        failure: createRefusal('header_too_large', message),
       };
     }
     case 'ERR_HTTP_REQUEST_TIMEOUT':
       return {
         status: '408 Request Timeout',
-        failure: refuse('request_timeout', 'Send the headers faster.'),
+        failure: createRefusal('request_timeout', 'Send the headers faster.'),
       };
     case undefined:
     default:
-      return { status: '400 Bad Request', failure: refuse('bad_request', 'Send valid HTTP/1.1.') };
+      return {
+        status: '400 Bad Request',
+        failure: createRefusal('bad_request', 'Send valid HTTP/1.1.'),
+      };
   }
 }
--- a/src/entry/DecisionLog.ts
+++ b/src/entry/DecisionLog.ts
@@ -1,10 +1,10 @@
-/** One log line for each decision, and the latest of them in memory for `explain`. */
+/** Logs each decision about a request and keeps the latest ones in memory for `explain`. */
 import type { ILog } from '../common/Log.js';
 
-/** Requests whose decisions are kept; about 2 MB. */
-const MAX_REQUESTS = 2_000;
+/** Number of requests whose decisions are kept in memory; they take about 2 MB. */
+const MAX_KEPT_REQUESTS = 2_000;
 
-/** What kind of decision a record describes. */
+/** Kind of a decision; the value of the field `decision` in the log line. */
 export type DecisionKind = 'refused' | 'routed' | 'retried' | 'resumed' | 'claimed' | 'finished';
 
 interface IRecord {
@@ -12,7 +12,10 @@
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
-/** Records decisions. Fields never hold keys, prompts or generated text. */
+/**
+ * Writes one log line for each decision and keeps those of the latest requests. Fields never hold keys,
+ * prompts or generated text.
+ */
 export class DecisionLog {
   private readonly _records = new Map<string, IRecord[]>();
 
@@ -23,22 +26,22 @@
     decision: DecisionKind,
     fields: Readonly<Record<string, unknown>>,
   ): void {
-    const record = { requestId, decision, ...fields };
-    this._log.info('decision', record);
-    // Few requests are explained, so the text is made when it is asked for.
-    const entry = { time: Date.now(), fields: record };
+    const logFields = { requestId, decision, ...fields };
+    this._log.info('decision', logFields);
+    // Few requests are explained, so the JSON text is only made on demand.
+    const newRecord = { time: Date.now(), fields: logFields };
     const records = this._records.get(requestId);
     if (records !== undefined) {
-      records.push(entry);
+      records.push(newRecord);
       return;
     }
-    this._records.set(requestId, [entry]);
-    if (this._records.size > MAX_REQUESTS) {
+    this._records.set(requestId, [newRecord]);
+    if (this._records.size > MAX_KEPT_REQUESTS) {
       this._dropOldest();
     }
   }
 
-  /** Records of a request as JSON lines. */
+  /** Decisions about a request as JSON lines; empty if they are no longer kept. */
   public explain(requestId: string): string[] {
     const records = this._records.get(requestId) ?? [];
     return records.map(({ time, fields }) =>
--- a/src/entry/Directory.ts
+++ b/src/entry/Directory.ts
@@ -1,4 +1,4 @@
-/** Decoded view of the configuration items, kept in step with the feed. */
+/** Index of the decoded configuration items, updated by the feed. */
 import { fromBinary } from '@bufbuild/protobuf';
 import type { IDisposable } from '../common/Lifecycle.js';
 import type { IFeed } from '../feed/Types.js';
@@ -14,14 +14,14 @@
   type Service,
 } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** A route of a plain service that matches a path. */
+/** A route that matches a path, with its service. */
 export interface IRouteMatch {
   readonly service: Service;
   readonly route: Route;
 }
 
 /**
- * Looks up services, routes, client accounts and keys.
+ * Holds the services, client accounts and keys of the configuration in decoded form, and looks them up.
  *
  * @example
  * const directory = new Directory(feed);
@@ -60,21 +60,21 @@
     return [...this._accounts.values()];
   }
 
-  /** The service that offers a model. */
+  /** The service that offers a model; undefined if there is none. */
   public findModelService(model: string): Service | undefined {
     return [...this._services.values()].find(
       ({ kind, models }) => kind === ServiceKind.MODEL && models.includes(model),
     );
   }
 
-  /** Models that a client account may use. */
+  /** Names of the models that a client account may use. */
   public listModels(account: ClientAccount): string[] {
     return [...this._services.values()]
       .filter(({ kind, name }) => kind === ServiceKind.MODEL && account.services.includes(name))
       .flatMap(({ models }) => models);
   }
 
-  /** The route with the longest matching path; paths match by whole segments. */
+  /** The route with the longest path that is a prefix of `path`, by whole segments. */
   public findRoute(path: string): IRouteMatch | undefined {
     let best: IRouteMatch | undefined;
     for (const service of this._services.values()) {
--- a/src/entry/DispatchClient.ts
+++ b/src/entry/DispatchClient.ts
@@ -1,4 +1,4 @@
-/** Sends a dispatch to the sidecar of a target and reads its receipt. */
+/** HTTP client for dispatches to the sidecars of targets. */
 import { create } from '@bufbuild/protobuf';
 import { Agent } from 'undici';
 import {
@@ -22,10 +22,13 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Idle connections to a sidecar are closed before its own limit, so that none is used as it closes. */
-const KEEP_ALIVE_MS = 4_000;
+/**
+ * Below the keep-alive limit of the sidecars: the entry closes idle connections first, so that it sends no
+ * request on a connection that the sidecar is closing.
+ */
+const KEEP_ALIVE_TIMEOUT_MS = 4_000;
 
-/** One dispatch. */
+/** A request to the sidecar of a target, with the ticket that authorises it. */
 export interface IDispatch {
   readonly ticket: Ticket;
   readonly target: IRosterTarget;
@@ -36,7 +39,7 @@
   readonly signal: AbortSignal;
 }
 
-/** What became of a dispatch before its answer was read. */
+/** Outcome of a dispatch when the head of the answer has arrived; the body is not read yet. */
 export type DispatchOutcome =
   | {
       readonly kind: 'answered';
@@ -44,17 +47,17 @@
       readonly receipt: Receipt;
       readonly streamId: string | undefined;
     }
-  /** The sidecar or the connection proves that nothing ran. */
+  /** The sidecar's receipt or a failure to connect proves that the call did not run. */
   | {
       readonly kind: 'not_run';
       readonly reason: RefusalReason;
-      /** Absent when the sidecar was not connected. */
+      /** Absent if no connection to the sidecar was made. */
       readonly receipt?: Receipt;
     }
   /** The call may have run. */
   | { readonly kind: 'unknown'; readonly message: string };
 
-/** Fields of a ticket that come from the announcement of the target. */
+/** Creates a ticket from the given fields and those of the target's announcement. */
 export function createTicket(
   target: IRosterTarget,
   fields: Omit<Parameters<typeof create<typeof TicketSchema>>[1] & object, '$typeName'>,
@@ -69,30 +72,30 @@
   });
 }
 
-/** Client for the data path to sidecars. */
+/** Sends dispatches to sidecars and checks the receipts in their answers. */
 export class DispatchClient {
   private readonly _agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
-    keepAliveTimeout: KEEP_ALIVE_MS,
-    keepAliveMaxTimeout: KEEP_ALIVE_MS,
-    // The deadline of the request limits the wait for headers and body.
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT_MS,
+    // The deadline of the request, through its signal, limits the wait for headers and body.
     headersTimeout: 0,
     bodyTimeout: 0,
   });
 
   constructor(private readonly _clusterSecret: string) {}
 
-  /** Sends a dispatch and returns once the head of the answer is there. */
+  /** Sends a dispatch and resolves when the head of the answer has arrived. Never rejects. */
   public async dispatch(dispatch: IDispatch): Promise<DispatchOutcome> {
     try {
       const response = await this._send(dispatch, {});
       return await this._readHead(dispatch, response);
     } catch (error) {
-      return describeError(error);
+      return convertError(error);
     }
   }
 
-  /** Asks for the rest of a stream after an event id. */
+  /** Requests the events of a stream after `lastEventId`. Never rejects. */
   public async resume(
     dispatch: IDispatch,
     streamId: string,
@@ -105,7 +108,7 @@
       );
       return await this._readHead(dispatch, response);
     } catch (error) {
-      return describeError(error);
+      return convertError(error);
     }
   }
 
@@ -135,7 +138,7 @@
   private async _readHead(dispatch: IDispatch, response: IHttpAnswer): Promise<DispatchOutcome> {
     const receipt = decodeHeader(ReceiptSchema, response.headers[RECEIPT_HEADER]);
     if (receipt?.requestId !== dispatch.ticket.requestId) {
-      // An answer that belongs to another request must never reach this caller.
+      // The answer may belong to another request, so it must not reach this caller.
       response.body.destroy();
       return { kind: 'unknown', message: 'the sidecar answered without a matching receipt' };
     }
@@ -150,13 +153,13 @@
     }
     await response.body.read(() => undefined);
     if (receipt.ran) {
-      return { kind: 'unknown', message: 'the target broke off' };
+      return { kind: 'unknown', message: 'the connection to the target broke' };
     }
     return { kind: 'not_run', reason: receipt.refusal, receipt };
   }
 }
 
-function describeError(error: unknown): DispatchOutcome {
+function convertError(error: unknown): DispatchOutcome {
   if (isNeverConnected(error)) {
     return { kind: 'not_run', reason: RefusalReason.TARGET_DOWN };
   }
--- a/src/entry/Dispatcher.test.ts
+++ b/src/entry/Dispatcher.test.ts
@@ -21,19 +21,19 @@
 const RECEIPT = create(ReceiptSchema, { refusal: RefusalReason.BUSY, cachedPromptTokens: 2_000 });
 const BUSY: DispatchOutcome = { kind: 'not_run', reason: RefusalReason.BUSY, receipt: RECEIPT };
 const DOWN: DispatchOutcome = { kind: 'not_run', reason: RefusalReason.TARGET_DOWN };
-const BROKEN: DispatchOutcome = { kind: 'unknown', message: 'the target broke off' };
+const BROKEN: DispatchOutcome = { kind: 'unknown', message: 'the connection to the target broke' };
 const ANSWERED = { kind: 'answered' } as DispatchOutcome;
 
-interface IParts {
+interface IFixture {
   readonly dispatcher: Dispatcher;
-  readonly tried: Set<string>;
+  readonly triedTargets: Set<string>;
   readonly spend: MockInstance<(now: number) => boolean>;
   readonly recordBusy: ReturnType<typeof vi.fn>;
   readonly recordFailure: ReturnType<typeof vi.fn>;
 }
 
-/** Dispatcher whose targets end the dispatches with the given outcomes, one after the other. */
-function createParts(outcomes: readonly DispatchOutcome[]): IParts {
+/** Creates a dispatcher whose dispatches end with the given outcomes, one after the other. */
+function createFixture(outcomes: readonly DispatchOutcome[]): IFixture {
   const clock = new ManualClock();
   const recordBusy = vi.fn();
   const recordFailure = vi.fn();
@@ -69,10 +69,10 @@
     feedSync: { syncOnce: () => Promise.resolve() },
   };
   const dispatcher = new Dispatcher(chooser, client, budget, services);
-  return { dispatcher, tried: new Set(), spend, recordBusy, recordFailure };
+  return { dispatcher, triedTargets: new Set(), spend, recordBusy, recordFailure };
 }
 
-async function run(parts: IParts): Promise<string> {
+async function run(fixture: IFixture): Promise<string> {
   const context = {
     requestId: 'r1',
     request: { method: 'POST' },
@@ -84,34 +84,39 @@
     headers: {},
     body: undefined,
   });
-  const result = await parts.dispatcher.run(context, {} as IChooseInput, build, parts.tried);
+  const result = await fixture.dispatcher.run(
+    context,
+    {} as IChooseInput,
+    build,
+    fixture.triedTargets,
+  );
   return result.ok ? 'answered' : `${result.val.code} ${result.val.ran}`;
 }
 
 describe('Dispatcher', () => {
-  it('decides again after a busy target without spending a retry, and may choose it again', async () => {
-    const parts = createParts([BUSY, BUSY, ANSWERED]);
-    expect(await run(parts)).toBe('answered');
-    expect(parts.recordBusy).toHaveBeenCalledTimes(2);
-    expect(parts.spend).not.toHaveBeenCalled();
-    expect(parts.tried.size).toBe(0);
-    expect(parts.recordFailure).not.toHaveBeenCalled();
+  it('chooses again after a busy refusal without spending retry budget or excluding the target', async () => {
+    const fixture = createFixture([BUSY, BUSY, ANSWERED]);
+    expect(await run(fixture)).toBe('answered');
+    expect(fixture.recordBusy).toHaveBeenCalledTimes(2);
+    expect(fixture.spend).not.toHaveBeenCalled();
+    expect(fixture.triedTargets.size).toBe(0);
+    expect(fixture.recordFailure).not.toHaveBeenCalled();
   });
 
-  it('ends after a bounded number of busy targets, and says that nothing ran', async () => {
-    const parts = createParts([BUSY, BUSY, BUSY, BUSY, ANSWERED]);
-    expect(await run(parts)).toBe('no_target no');
+  it('fails after a bounded number of busy refusals and reports "not run"', async () => {
+    const fixture = createFixture([BUSY, BUSY, BUSY, BUSY, ANSWERED]);
+    expect(await run(fixture)).toBe('no_target no');
   });
 
-  it('spends a retry on a target that is down and leaves it out', async () => {
-    const parts = createParts([DOWN, ANSWERED]);
-    expect(await run(parts)).toBe('answered');
-    expect(parts.spend).toHaveBeenCalledTimes(1);
-    expect([...parts.tried]).toEqual(['t1']);
+  it('spends retry budget on a target that is down and excludes the target', async () => {
+    const fixture = createFixture([DOWN, ANSWERED]);
+    expect(await run(fixture)).toBe('answered');
+    expect(fixture.spend).toHaveBeenCalledTimes(1);
+    expect([...fixture.triedTargets]).toEqual(['t1']);
   });
 
-  it('never says "not run" once a target may have run the request', async () => {
-    const parts = createParts([BROKEN, DOWN, DOWN, DOWN]);
-    expect(await run(parts)).toBe('target_failed unknown');
+  it('reports an unknown outcome if one of the targets may have run the request', async () => {
+    const fixture = createFixture([BROKEN, DOWN, DOWN, DOWN]);
+    expect(await run(fixture)).toBe('target_failed unknown');
   });
 });
--- a/src/entry/Dispatcher.ts
+++ b/src/entry/Dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sixth stage: dispatches a repeatable request and retries it on other targets. */
+/** Sixth stage of the request pipeline: dispatches a repeatable request and retries it. */
 import { Err, Ok, type Result } from '../common/Result.js';
 import { addJitter, sleep } from '../common/Tasks.js';
 import { RefusalReason, type Receipt } from '../gen/redwingwharf/v1/control_pb.js';
@@ -6,34 +6,37 @@
 import type { Chooser, IChoice, IChooseInput } from './Chooser.js';
 import type { DispatchClient, DispatchOutcome, IDispatch } from './DispatchClient.js';
 import { createTicket } from './DispatchClient.js';
-import { fail, refuse, type IHttpFailure, type Ran } from './Failures.js';
+import { createFailure, createRefusal, type IHttpFailure, type Ran } from './Failures.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Tries of one request, on different targets. */
-const MAX_TRIES = 4;
+/** Maximum number of dispatches in one `run`, the first one included. */
+const MAX_ATTEMPTS = 4;
 
-const RETRY_PAUSE_MS = 20;
+const RETRY_DELAY_MS = 20;
 
-/** Hashes of the prefix chain in a ticket: bounds its header to about 600 bytes. */
+/** Maximum number of prefix chain hashes in a ticket; bounds its header to about 600 bytes. */
 const MAX_CHAIN_HASHES = 24;
 
-/** Time in which a new target announces itself. */
-const RETRY_NO_TARGET_MS = 1_000;
+/** By this time a new target has announced itself. */
+const NO_TARGET_RETRY_AFTER_MS = 1_000;
 
-/** The answering target of a dispatch. */
-export interface IDispatched {
+/** A dispatch whose answer has begun, with the target that answers. */
+export interface IAnsweredDispatch {
   readonly choice: IChoice;
   readonly dispatch: IDispatch;
   readonly outcome: Extract<DispatchOutcome, { kind: 'answered' }>;
 }
 
-/** What goes to the target, built for the chosen one. */
-export interface IOutgoing {
+/** Headers and body for the chosen target. */
+export interface IOutgoingRequest {
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Buffer | undefined;
 }
 
-/** Chooses, dispatches and retries within the retry budget. */
+/**
+ * Chooses a target for a repeatable request, dispatches it and retries on other targets within the retry
+ * budget.
+ */
 export class Dispatcher {
   constructor(
     private readonly _chooser: Chooser,
@@ -42,18 +45,21 @@
     private readonly _services: IFlowServices,
   ) {}
 
-  /** Returns the first answer, or the failure when no further try is allowed. */
+  /**
+   * Returns the first answer, or the failure if no further attempt is allowed. Targets that fail are added
+   * to `triedTargets`, and targets in it are not chosen.
+   */
   public async run(
     context: IRequestContext,
     input: IChooseInput,
-    build: (choice: IChoice) => IOutgoing,
-    tried: Set<string> = new Set<string>(),
-  ): Promise<Result<IDispatched, IHttpFailure>> {
+    build: (choice: IChoice) => IOutgoingRequest,
+    triedTargets: Set<string> = new Set<string>(),
+  ): Promise<Result<IAnsweredDispatch, IHttpFailure>> {
     const { clock } = this._services;
     this._budget.recordRequest(clock.now());
     let ran: Ran = 'no';
     for (let attempt = 1; ; attempt++) {
-      const choice = this._chooser.choose(input, tried, clock.now());
+      const choice = this._chooser.choose(input, triedTargets, clock.now());
       if (choice === undefined) {
         return Err(describeNoTarget(ran));
       }
@@ -66,16 +72,16 @@
       if (isBusy(outcome)) {
         this._chooser.recordBusy(choice, outcome.receipt, clock.now());
         this._services.metrics.increment('retries_total', { cause: 'busy' });
-        if (attempt < MAX_TRIES) {
+        if (attempt < MAX_ATTEMPTS) {
           continue;
         }
       } else {
         this._chooser.recordFailure(choice, clock.now());
       }
       ran = outcome.kind === 'unknown' ? 'unknown' : ran;
-      const mayRetry = await this._prepareRetry(context, outcome, choice, tried, attempt);
+      const mayRetry = await this._prepareRetry(context, outcome, choice, triedTargets, attempt);
       if (!mayRetry) {
-        return Err(describeGivenUp(ran));
+        return Err(describeRetriesExhausted(ran));
       }
     }
   }
@@ -83,7 +89,7 @@
   private _buildDispatch(
     context: IRequestContext,
     choice: IChoice,
-    outgoing: IOutgoing,
+    outgoing: IOutgoingRequest,
   ): IDispatch {
     const { clock, feed } = this._services;
     const remainingMs = Math.max(1, Math.round(context.open.deadlineAt - clock.now()));
@@ -95,9 +101,9 @@
         revision: BigInt(feed.revision),
         deadlineMs: remainingMs,
         cacheSalt: choice.cacheSalt,
-        prefixChain: encodeChain(choice.routeRequest.chain),
+        prefixChain: encodePrefixChain(choice.routeRequest.chain),
         promptTokens: choice.routeRequest.promptTokens,
-        maxTtftMs: encodeLimit(choice.decision.maxTtftMs),
+        maxTtftMs: encodeMaxTtft(choice.decision.maxTtftMs),
         priority: context.caller?.account.priority ?? 0,
       }),
       target: choice.target,
@@ -126,33 +132,33 @@
     });
   }
 
-  /** Waits before the next try; false when there is none. */
+  /** Charges the retry budget and waits before the next attempt; false if none is allowed. */
   private async _prepareRetry(
     context: IRequestContext,
     outcome: Exclude<DispatchOutcome, { kind: 'answered' }>,
     choice: IChoice,
-    tried: Set<string>,
+    triedTargets: Set<string>,
     attempt: number,
   ): Promise<boolean> {
     const { clock, feedSync, metrics } = this._services;
     const { signal } = context.open;
-    if (signal.aborted || attempt >= MAX_TRIES || !this._budget.trySpend(clock.now())) {
+    if (signal.aborted || attempt >= MAX_ATTEMPTS || !this._budget.trySpend(clock.now())) {
       return false;
     }
     metrics.increment('retries_total', { cause: outcome.kind });
     if (outcome.kind === 'not_run' && outcome.reason === RefusalReason.OLD_REVISION) {
       await feedSync.syncOnce(signal).catch(() => undefined);
     } else {
-      tried.add(choice.view.id);
+      triedTargets.add(choice.view.id);
     }
-    await sleep(addJitter(RETRY_PAUSE_MS), signal);
+    await sleep(addJitter(RETRY_DELAY_MS), signal);
     return !signal.aborted;
   }
 }
 
 /**
- * A refusal of a busy target costs one hop and no work, so it is not charged to the retry budget. The
- * policy sets no limit after two of them.
+ * True if the target refused because it is busy. Such a refusal costs one round trip and no work of the
+ * target, so it is not charged to the retry budget. After two of them the policy sets no `maxTtftMs`.
  */
 function isBusy(
   outcome: DispatchOutcome,
@@ -164,25 +170,25 @@
   );
 }
 
-/** Zero stands for no limit. */
-function encodeLimit(maxTtftMs: number): number {
+/** Encodes the limit for a ticket, in which zero means no limit. */
+function encodeMaxTtft(maxTtftMs: number): number {
   return Number.isFinite(maxTtftMs) ? Math.max(1, Math.round(maxTtftMs)) : 0;
 }
 
-function encodeChain(chain: readonly string[]): Uint8Array[] {
+function encodePrefixChain(chain: readonly string[]): Uint8Array[] {
   return chain.slice(0, MAX_CHAIN_HASHES).map((hash) => Buffer.from(hash, 'hex'));
 }
 
 function describeNoTarget(ran: Ran): IHttpFailure {
   const message = 'No target of this service is available; try again.';
   return ran === 'no'
-    ? refuse('no_target', message, RETRY_NO_TARGET_MS)
-    : fail('target_failed', message, ran, RETRY_NO_TARGET_MS);
+    ? createRefusal('no_target', message, NO_TARGET_RETRY_AFTER_MS)
+    : createFailure('target_failed', message, ran, NO_TARGET_RETRY_AFTER_MS);
 }
 
-function describeGivenUp(ran: Ran): IHttpFailure {
+function describeRetriesExhausted(ran: Ran): IHttpFailure {
   const message = 'The targets did not answer; try again.';
   return ran === 'no'
-    ? refuse('no_target', message, RETRY_NO_TARGET_MS)
-    : fail('target_failed', message, ran, RETRY_NO_TARGET_MS);
+    ? createRefusal('no_target', message, NO_TARGET_RETRY_AFTER_MS)
+    : createFailure('target_failed', message, ran, NO_TARGET_RETRY_AFTER_MS);
 }
--- a/src/entry/EdgeClaims.test.ts
+++ b/src/entry/EdgeClaims.test.ts
@@ -22,31 +22,31 @@
   return (JSON.parse(text) as { error: { code: string } }).error.code;
 }
 
-/** Breaks the connection in place of sending the sidecar's answer. */
+/** Breaks the connection instead of sending the sidecar's answer. */
 function dropAnswer(response: ServerResponse): void {
   response.writeHead = () => response;
   response.end = () => response.destroy();
 }
 
-/** Loses the answers to the next dispatches with a ticket. */
+/** Drops the sidecars' answers to the next `count` dispatches. */
 function dropAnswers(count: number): void {
-  let left = count;
+  let remaining = count;
   harness.interceptDispatch = (request, response) => {
-    if (request.headers[TICKET_HEADER] !== undefined && left > 0) {
-      left -= 1;
+    if (request.headers[TICKET_HEADER] !== undefined && remaining > 0) {
+      remaining -= 1;
       dropAnswer(response);
     }
   };
 }
 
 describe('a non-repeatable call', () => {
-  it('runs once when the sidecar loses the answer, and the caller gets it all the same', async () => {
+  it('runs once and is answered when the connection to the sidecar breaks before the answer', async () => {
     dropAnswers(1);
     const answer = await harness.placeOrder({ order: 'lost' }, undefined);
     expect([answer.status, await harness.countEffects('lost')]).toEqual([201, 1]);
   });
 
-  it('runs at most once when the target breaks off, and says that the outcome is unknown', async () => {
+  it('runs at most once when the target breaks the connection, and reports an unknown outcome', async () => {
     const order = { order: 'dropped', dropAnswer: true };
     const first = await harness.placeOrder(order, 'dropped-1');
     const resent = await harness.placeOrder(order, 'dropped-1', { entry: 1 });
@@ -57,7 +57,7 @@
     expect(await harness.countEffects('dropped')).toBe(1);
   });
 
-  it('runs once when two entries get it at the same time, and marks the replay', async () => {
+  it('runs once when two entries get it at the same time, and marks replayed answers', async () => {
     const order = { order: 'twice', delayMs: 100 };
     const place = (entry: number): Promise<IAnswerText> =>
       harness.placeOrder(order, 'twice-1', { entry });
@@ -78,20 +78,20 @@
     expect(await harness.countEffects('second')).toBe(0);
   });
 
-  it('runs although the change of its account reached the targets first', async () => {
+  it('runs when a change of its client account reached the targets before the entries', async () => {
     await harness.addAccount('pag', 1e8, 'targets');
     const answer = await harness.placeOrder({ order: 'revised' }, undefined);
     expect([answer.status, await harness.countEffects('revised')]).toEqual([201, 1]);
   });
 
-  it('goes on to its end when the caller leaves, so that a resend gets the answer', async () => {
+  it('continues after the caller disconnects, so that a repeated request gets the answer', async () => {
     const order = { order: 'left', delayMs: 300 };
     const leaving = await harness.startAndLeave('/orders', {
       ...{ method: 'POST', headers: { 'idempotency-key': 'left-1' }, body: JSON.stringify(order) },
       leaveWhen: async () => (await harness.countEffects('left')) === 1,
     });
     expect(leaving).toBe('left');
-    await waitFor('the answer on record', async () => {
+    await waitFor('the recorded answer', async () => {
       const resent = await harness.placeOrder(order, 'left-1', { entry: 1 });
       return resent.status === 201 && resent.headers['x-rww-replayed'] === 'true';
     });
@@ -99,8 +99,8 @@
   });
 });
 
-describe('a refusal of a resend', () => {
-  it('does not say "not run" when its claim could not be looked up', async () => {
+describe('a refusal of a repeated request', () => {
+  it('does not report "not run" if the claim could not be looked up', async () => {
     const placed = await harness.placeOrder({ order: 'resent' }, 'resent-1');
     expect(placed.status).toBe(201);
     harness.isControlServed = false;
@@ -115,7 +115,7 @@
     expect(await harness.countEffects('new')).toBe(0);
   });
 
-  it('does not say "not run" when the entry refuses it for another reason', async () => {
+  it('does not report "not run" if the entry refuses it before the claim is looked up', async () => {
     const refusals = await Promise.all([
       harness.placeOrder({ order: 'resent' }, 'resent-1', { key: undefined }),
       harness.placeOrder({ order: harness.key }, 'resent-1'),
--- a/src/entry/EdgeHarness.ts
+++ b/src/entry/EdgeHarness.ts
@@ -1,4 +1,4 @@
-/** Test support: entries, a control member and sidecars in one process, in front of fakes. */
+/** Test harness: entries, a control member and sidecars in one process, with fake targets. */
 import { once } from 'node:events';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -55,6 +55,7 @@
   cache: { capacityChunks: 64, idleEvictionMs: 60_000, eventDelayMs: 0, eventLoss: 0 },
 };
 
+/** What the deployment consists of; by default one entry, one engine and one plain target. */
 export interface IHarnessOptions {
   readonly engines?: readonly (Partial<IEngineOptions> | Server)[];
   readonly plainTargets?: number;
@@ -62,13 +63,14 @@
   readonly overrides?: IEntryOverrides;
 }
 
-/** An answer that was read to its end. */
+/** An answer whose body was read completely. */
 export interface IAnswerText {
   readonly status: number;
   readonly headers: Dispatcher.ResponseData['headers'];
   readonly text: string;
 }
 
+/** Options of a request; `entry` is the index of the entry that gets it. */
 export interface ICallInit {
   readonly method?: string;
   readonly key?: string | undefined;
@@ -87,8 +89,8 @@
   readonly internal: string;
 }
 
-/** A target with its connections, so that a test can cut them. */
-export class TargetFake {
+/** A fake target whose connections a test can break. */
+export class FakeTarget {
   private readonly _sockets = new Set<Socket>();
 
   constructor(
@@ -103,7 +105,7 @@
     });
   }
 
-  /** Breaks all connections; new ones are accepted. */
+  /** Breaks all connections; new ones are still accepted. */
   public cutConnections(): void {
     this._sockets.forEach((socket) => socket.destroy());
   }
@@ -115,21 +117,21 @@
   }
 }
 
-/** A small deployment on loopback ports. */
+/** A small deployment on loopback ports. Dispose of it after the tests. */
 export class EdgeHarness {
   public readonly entries: IEntryProcess[] = [];
-  public readonly targets: TargetFake[] = [];
-  /** Head and body of each request that reached a target. */
-  public readonly seen: string[] = [];
+  public readonly targets: FakeTarget[] = [];
+  /** URL, headers and body of each request that reached a target. */
+  public readonly receivedRequests: string[] = [];
   public readonly http = new Agent({ headersTimeout: 0, bodyTimeout: 0 });
-  /** False while no feed server answers. */
+  /** If false, the feed server fails all requests. */
   public isFeedServed = true;
-  /** False while the control member carries no command out. */
+  /** If false, the control member refuses all commands. */
   public isControlServed = true;
-  /** Sees each dispatch before its sidecar handles it. */
+  /** Called with each dispatch before its sidecar handles it. */
   public interceptDispatch:
     ((request: IncomingMessage, response: ServerResponse) => void) | undefined;
-  /** Key of the account `pag`, which may use all services. */
+  /** Key of the client account `pag`, which may use all services. */
   public key = '';
   private readonly _clock = new MonotonicClock();
   private readonly _rpc = new RpcClients(CLUSTER_SECRET);
@@ -137,7 +139,7 @@
   private readonly _state = new ControlState();
   private readonly _servers: InternalServer[] = [];
   private readonly _sidecars: Sidecar[] = [];
-  private readonly _targetFeeds: FeedClient[] = [];
+  private readonly _targetFeedClients: FeedClient[] = [];
   private readonly _control: ControlNode;
 
   private constructor(private readonly _controlAddress: string) {
@@ -151,26 +153,26 @@
     const plainTargets = options.plainTargets ?? 1;
     const targetCount = engines.length + plainTargets;
     const ports = await findFreePorts(1 + 2 * entryCount + 2 * targetCount);
-    const takeAddress = (): string => `127.0.0.1:${ports.pop() ?? 0}`;
-    const harness = new EdgeHarness(takeAddress());
+    const reserveAddress = (): string => `127.0.0.1:${ports.pop() ?? 0}`;
+    const harness = new EdgeHarness(reserveAddress());
     await harness._startControl();
-    await harness._publishBasics();
+    await harness._publishInitialItems();
     for (let index = 0; index < entryCount; index++) {
-      await harness._startEntry(`entry-${index}`, takeAddress(), takeAddress(), options);
+      await harness._startEntry(`entry-${index}`, reserveAddress(), reserveAddress(), options);
     }
     for (const [index, engine] of engines.entries()) {
-      const fake = harness._createEngine(`engine-${index}`, engine, takeAddress());
-      await harness._startTarget(fake, 'engine', 'lace', takeAddress());
+      const fake = harness._createEngine(`engine-${index}`, engine, reserveAddress());
+      await harness._startTarget(fake, 'engine', 'lace', reserveAddress());
     }
     for (let index = 0; index < plainTargets; index++) {
-      const fake = harness._createPlain(`desk-${index}`, takeAddress());
-      await harness._startTarget(fake, 'plain', 'order-desk', takeAddress());
+      const fake = harness._createPlain(`desk-${index}`, reserveAddress());
+      await harness._startTarget(fake, 'plain', 'order-desk', reserveAddress());
     }
     await waitFor('all targets at all entries', () => harness._hasAllTargets(targetCount));
     return harness;
   }
 
-  /** Changes items and waits until all entries have them. */
+  /** Publishes items and waits until all entries have them. */
   public async publish(...items: MessageInitShape<typeof ItemChangeSchema>[]): Promise<void> {
     await this._applyChange(items);
     await Promise.all(this.entries.map(({ feedClient }) => feedClient.syncOnce(this._stop.signal)));
@@ -183,8 +185,8 @@
     await this._control.execute(request, this._stop.signal);
   }
 
-  /** Creates a key and returns its text and the change that withdraws it. */
-  public async giveKey(
+  /** Creates and publishes a key; returns its text and the item that withdraws it. */
+  public async createKey(
     account: string,
   ): Promise<{ text: string; withdrawal: MessageInitShape<typeof ItemChangeSchema> }> {
     const { text, record } = createCallerKey(account);
@@ -194,11 +196,11 @@
     return { text, withdrawal: { key, value: withdrawn } };
   }
 
-  /** Sets a client account, at the entries or only at the targets. */
+  /** Publishes a client account and waits until the entries have it, or the targets instead of them. */
   public async addAccount(
     id: string,
     tokensPerSecond: number,
-    place: 'entries' | 'targets' = 'entries',
+    receivers: 'entries' | 'targets' = 'entries',
   ): Promise<void> {
     const services = ['lace', 'order-desk'];
     const account = create(ClientAccountSchema, {
@@ -207,11 +209,11 @@
     const item = { key: `clientAccount/${id}`, value: toBinary(ClientAccountSchema, account) };
     await this._applyChange([item]);
     const entries = this.entries.map(({ feedClient }) => feedClient);
-    const clients = place === 'entries' ? entries : this._targetFeeds;
+    const clients = receivers === 'entries' ? entries : this._targetFeedClients;
     await Promise.all(clients.map((client) => client.syncOnce(this._stop.signal)));
   }
 
-  /** Opens a request; the caller reads the body. */
+  /** Sends a request and resolves with the head of the answer; the test reads the body. */
   public async open(path: string, init: ICallInit = {}): Promise<Dispatcher.ResponseData> {
     const key = 'key' in init ? init.key : this.key;
     return this.http.request({
@@ -233,7 +235,7 @@
     return { status: response.statusCode, headers: response.headers, text };
   }
 
-  /** Opens a request and breaks the connection once the condition holds. */
+  /** Sends a request and breaks the connection as soon as the condition holds. */
   public async startAndLeave(
     path: string,
     init: ICallInit & { readonly leaveWhen: () => boolean | Promise<boolean> },
@@ -243,12 +245,12 @@
       () => 'answered' as const,
       () => 'left' as const,
     );
-    await waitFor('the time to leave', init.leaveWhen);
+    await waitFor('the condition to leave', init.leaveWhen);
     leaving.abort();
     return answer;
   }
 
-  /** Places an order, which may run at most once. */
+  /** Places an order, a call that must run at most once. */
   public async placeOrder(
     fields: Readonly<Record<string, unknown>>,
     idempotencyKey: string | undefined,
@@ -263,7 +265,7 @@
     });
   }
 
-  /** Number of effects at all plain targets for one order. */
+  /** Counts how often an order was executed at all plain targets together. */
   public async countEffects(order: string): Promise<number> {
     const plain = this.targets.filter(({ engine }) => engine === undefined);
     const lists = await Promise.all(
@@ -296,7 +298,7 @@
         router.service(ControlService, {
           execute: (request, { signal }) => {
             if (!this.isControlServed) {
-              throw new ConnectError('control is cut off', Code.PermissionDenied);
+              throw new ConnectError('control is disabled by the test', Code.PermissionDenied);
             }
             return this._control.execute(request, signal);
           },
@@ -304,7 +306,7 @@
         router.service(FeedService, {
           sync: (request) => {
             if (!this.isFeedServed) {
-              throw new Error('the feed is cut off');
+              throw new Error('the feed is disabled by the test');
             }
             return this._control.sync(request, this._clock.now());
           },
@@ -317,7 +319,7 @@
     this._servers.push(server);
   }
 
-  private async _publishBasics(): Promise<void> {
+  private async _publishInitialItems(): Promise<void> {
     const lace = create(ServiceSchema, {
       ...{ name: 'lace', kind: ServiceKind.MODEL, models: ['lace-1'] },
       ...{ defaultOutputTokens: 16, timeoutMs: SERVICE_TIMEOUT_MS },
@@ -335,7 +337,7 @@
       { key: 'service/order-desk', value: toBinary(ServiceSchema, desk) },
     );
     await this.addAccount('pag', 1e8);
-    this.key = (await this.giveKey('pag')).text;
+    this.key = (await this.createKey('pag')).text;
   }
 
   private async _startEntry(
@@ -381,22 +383,22 @@
     id: string,
     options: Partial<IEngineOptions> | Server,
     address: string,
-  ): TargetFake {
+  ): FakeTarget {
     if ('listen' in options) {
-      return new TargetFake(id, options, address, undefined);
+      return new FakeTarget(id, options, address, undefined);
     }
     const engine = new Engine({ ...ENGINE_OPTIONS, ...options });
     const server = createEngineServer(engine, this._observe);
-    return new TargetFake(id, server, address, engine);
+    return new FakeTarget(id, server, address, engine);
   }
 
-  private _createPlain(id: string, address: string): TargetFake {
+  private _createPlain(id: string, address: string): FakeTarget {
     const server = createPlainServer({ target: id, ledgerFile: undefined }, this._observe);
-    return new TargetFake(id, server, address, undefined);
+    return new FakeTarget(id, server, address, undefined);
   }
 
   private async _startTarget(
-    fake: TargetFake,
+    fake: FakeTarget,
     kind: 'engine' | 'plain',
     service: string,
     internal: string,
@@ -432,7 +434,7 @@
     this._servers.push(server);
     this._sidecars.push(sidecar);
     const feedClient = this._createFeedClient(feed, fake.id);
-    this._targetFeeds.push(feedClient);
+    this._targetFeedClients.push(feedClient);
     void feedClient.run(this._stop.signal);
     void sidecar.run(this._stop.signal);
   }
@@ -449,20 +451,20 @@
 
   private readonly _observe = (request: IncomingMessage, body: unknown): void => {
     const text = typeof body === 'string' ? body : JSON.stringify(body);
-    this.seen.push(`${request.url ?? ''}\n${request.rawHeaders.join('\n')}\n${text}`);
+    this.receivedRequests.push(`${request.url ?? ''}\n${request.rawHeaders.join('\n')}\n${text}`);
   };
 }
 
-/** Polls until the condition holds; throws with its name when it does not in time. */
+/** Polls until the condition holds; throws with its name if it does not hold in time. */
 export async function waitFor(
   name: string,
-  hasHappened: () => boolean | Promise<boolean>,
+  isConditionMet: () => boolean | Promise<boolean>,
   timeoutMs = START_TIMEOUT_MS,
 ): Promise<void> {
   const endsAt = performance.now() + timeoutMs;
-  while (!(await hasHappened())) {
+  while (!(await isConditionMet())) {
     if (performance.now() > endsAt) {
-      throw new Error(`waited ${timeoutMs} ms in vain for ${name}`);
+      throw new Error(`timed out after ${timeoutMs} ms waiting for ${name}`);
     }
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
--- a/src/entry/EdgeHttp.test.ts
+++ b/src/entry/EdgeHttp.test.ts
@@ -4,8 +4,8 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { EdgeHarness, formatCompletion, waitFor } from './EdgeHarness.js';
 
-/** How long a raw connection is watched for an answer. */
-const ANSWER_WAIT_MS = 10_000;
+/** A raw connection that is idle for longer is destroyed. */
+const IDLE_TIMEOUT_MS = 10_000;
 
 let harness: EdgeHarness;
 
@@ -20,14 +20,14 @@
 
 function open(): Socket {
   const socket = connect(harness.entries[0]?.port ?? 0, '127.0.0.1');
-  // A connection that the entry breaks is a permitted end.
+  // The entry may break the connection, which is not an error here.
   socket.on('error', () => undefined);
   return socket;
 }
 
 /**
- * Sends the parts one after another and returns all that came back until the entry closed the connection,
- * which it does at the latest when the sending side ends.
+ * Sends the parts one after another and returns everything received until the entry closed the connection,
+ * which it does at the latest after the sending side has ended.
  */
 async function sendRaw(
   parts: readonly (string | Uint8Array)[],
@@ -41,7 +41,7 @@
     socket.once('close', () => {
       resolve();
     });
-    socket.setTimeout(ANSWER_WAIT_MS, () => socket.destroy());
+    socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
   });
   for (const part of parts) {
     if (!socket.destroyed) {
@@ -58,7 +58,7 @@
   return Buffer.concat(received).toString('latin1');
 }
 
-/** Splits what came back into responses with a content-length. */
+/** Splits the received text into responses by their content-length. */
 function splitResponses(text: string): { head: string; body: string }[] {
   const responses: { head: string; body: string }[] = [];
   let rest = text;
@@ -75,7 +75,7 @@
   return responses;
 }
 
-/** Each response is a success or an error in the form that the design promises. */
+/** Expects each response to be a success or an error with all the documented fields; returns the statuses. */
 function expectTyped(text: string): string[] {
   return splitResponses(text).map(({ head, body }) => {
     const status = /^HTTP\/1\.1 (\d{3}) /.exec(head)?.[1] ?? 'none';
@@ -104,7 +104,7 @@
 }
 
 describe('the HTTP edge', () => {
-  it('survives random bytes and answers with typed errors only', async () => {
+  it('answers random bytes with typed errors only and keeps serving', async () => {
     const pieces = fc.oneof(
       fc.uint8Array({ maxLength: 200 }),
       fc.constantFrom(
@@ -146,7 +146,7 @@
     await expectHealthy();
   });
 
-  it('refuses what is too large or broken, and says what to change', async () => {
+  it('refuses requests that are too large or malformed with the matching status', async () => {
     const large = 9 * 1024 * 1024;
     const chunk = `100000\r\n${'x'.repeat(0x100000)}\r\n`;
     const chunked = { 'transfer-encoding': 'chunked' };
@@ -168,7 +168,7 @@
     await expectHealthy();
   });
 
-  it('sends a large upload its refusal, although it is not read to the end', async () => {
+  it('delivers the refusal of a large upload that is not read completely', async () => {
     const body = Buffer.alloc(30 * 1024 * 1024);
     const answer = await harness.call('/stock/a', { method: 'POST', body });
     expect([answer.status, answer.headers['x-rww-ran']]).toEqual([413, 'no']);
@@ -184,7 +184,7 @@
     expect(text.indexOf('/stock/one')).toBeLessThan(text.indexOf('/stock/three'));
   });
 
-  it('does not write an error into a response that has begun', async () => {
+  it('does not write an error into a response that has already begun', async () => {
     const body = formatCompletion(40);
     const headers = { 'content-length': `${body.length}` };
     const parts = [formatHead('POST', '/v1/completions', headers) + body, '\x00garbage\r\n\r\n'];
@@ -193,7 +193,7 @@
     expect(text).toContain('[DONE]');
   });
 
-  it('does not say "not run" of a request it could not read', async () => {
+  it('does not report "not run" for a request that it could not read', async () => {
     const headers = { 'idempotency-key': 'unread-1', 'transfer-encoding': 'chunked' };
     const texts = await Promise.all([
       sendRaw([formatHead('POST', '/orders', headers), 'zz\r\n']),
@@ -222,7 +222,7 @@
 });
 
 describe('drain', () => {
-  it('interrupts no request and answers keep-alive connections during the notice', async () => {
+  it('interrupts no request and serves keep-alive connections during the notice period', async () => {
     const { entries } = harness;
     const role = entries[0]?.role;
     const body = formatCompletion(1_000);
--- a/src/entry/EdgeKeys.test.ts
+++ b/src/entry/EdgeKeys.test.ts
@@ -2,7 +2,7 @@
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 import { EdgeHarness, formatCompletion, waitFor, type ICallInit } from './EdgeHarness.js';
 
-/** Beginning of a caller's key; none may reach a target. */
+/** Matches the beginning of a caller's key, which must never reach a target. */
 const KEY_START = /rww(_|%5f)[0-9a-f]{12}/i;
 
 let harness: EdgeHarness;
@@ -28,17 +28,20 @@
     ['query', (key) => ({ path: `/stock/linen?api_key=${key}&colour=red` })],
   ];
 
-  it.each(forms)('accepts %s and keeps the key from the target', async (_name, build) => {
-    harness.seen.length = 0;
-    const { path = '/stock/linen', ...init } = build(harness.key);
-    const answer = await harness.call(path, { key: undefined, ...init });
-    expect(answer.status).toBe(200);
-    expect(harness.seen).toHaveLength(1);
-    expect(harness.seen.join('\n')).not.toMatch(KEY_START);
-  });
+  it.each(forms)(
+    'accepts a key as %s and does not forward it to the target',
+    async (_name, build) => {
+      harness.receivedRequests.length = 0;
+      const { path = '/stock/linen', ...init } = build(harness.key);
+      const answer = await harness.call(path, { key: undefined, ...init });
+      expect(answer.status).toBe(200);
+      expect(harness.receivedRequests).toHaveLength(1);
+      expect(harness.receivedRequests.join('\n')).not.toMatch(KEY_START);
+    },
+  );
 
-  it('keeps a key in a form that is not accepted from the target', async () => {
-    harness.seen.length = 0;
+  it('does not forward a key that was sent in another place than the accepted ones', async () => {
+    harness.receivedRequests.length = 0;
     const { key } = harness;
     const encoded = key.replaceAll('_', '%5F');
     const attempts: [string, ICallInit][] = [
@@ -56,13 +59,13 @@
     for (const [path, init] of attempts) {
       await harness.call(path, init);
     }
-    expect(harness.seen.length).toBeGreaterThan(4);
-    expect(harness.seen.filter((text) => KEY_START.test(text))).toEqual([]);
+    expect(harness.receivedRequests.length).toBeGreaterThan(4);
+    expect(harness.receivedRequests.filter((text) => KEY_START.test(text))).toEqual([]);
     expect((await harness.call(`/stock/${encoded}`)).status).toBe(400);
   });
 
-  it('refuses a body with the own key, which would show it to the target', async () => {
-    harness.seen.length = 0;
+  it("refuses a body that contains the caller's key, because the target would see it", async () => {
+    harness.receivedRequests.length = 0;
     const { key } = harness;
     const escaped = key.replaceAll('_', '\\u005f');
     const bodies = [
@@ -77,17 +80,17 @@
       expect(readError(answer.text).code).toBe('key_in_request');
       expect(answer.text).not.toContain(key);
     }
-    expect(harness.seen).toEqual([]);
+    expect(harness.receivedRequests).toEqual([]);
   });
 
-  it('shows neither keys nor paths in the metrics', () => {
+  it('exposes neither keys nor paths in the metrics', () => {
     const text = harness.entries.map(({ metrics }) => metrics.render()).join('');
     expect(text).toMatch(/^redwingwharf_request_ms{service="order-desk",quantile="0.99"} \d+$/m);
     expect(text).not.toMatch(KEY_START);
     expect(text).not.toMatch(/stock|orders|\/v1/);
   });
 
-  it('shows callers no internal header', async () => {
+  it('forwards no internal header to callers', async () => {
     const answers = await Promise.all([
       harness.call('/stock/linen'),
       harness.placeOrder({ order: 'headers' }, 'headers-1'),
@@ -104,8 +107,8 @@
 });
 
 describe('a withdrawn key', () => {
-  it('ends open streams and buffered requests, and later requests on the connection', async () => {
-    const { text: key, withdrawal } = await harness.giveKey('pag');
+  it('ends open streams and buffered requests, and is refused in later requests', async () => {
+    const { text: key, withdrawal } = await harness.createKey('pag');
     const stream = await harness.open('/v1/completions', {
       ...{ key, method: 'POST', body: formatCompletion(5_000) },
     });
@@ -120,7 +123,7 @@
     await harness.publish(withdrawal);
     const startedAt = performance.now();
     const ends = await Promise.all([stream.body.text(), buffered, slowOrder]);
-    // The limit is 1 s; the rest is allowed for a busy machine.
+    // The required limit is 1 s; the tolerance is for a busy machine.
     expect(performance.now() - startedAt).toBeLessThan(2_500);
     expect(ends[0]).toMatch(/event: error\ndata: .*key_withdrawn/);
     expect(ends[1].status).toBe(401);
@@ -129,9 +132,9 @@
     expect([later.status, later.headers['x-rww-ran']]).toEqual([401, 'no']);
   });
 
-  it('does not dispatch a request whose body was still arriving', async () => {
-    harness.seen.length = 0;
-    const { text: key, withdrawal } = await harness.giveKey('pag');
+  it('prevents the dispatch of a request whose body was still arriving', async () => {
+    harness.receivedRequests.length = 0;
+    const { text: key, withdrawal } = await harness.createKey('pag');
     let finish = (): void => undefined;
     const upload = async function* (): AsyncGenerator<string> {
       yield '{"order":';
@@ -146,16 +149,16 @@
     await harness.publish(withdrawal);
     finish();
     expect((await answer).status).toBe(401);
-    expect(harness.seen).toEqual([]);
+    expect(harness.receivedRequests).toEqual([]);
   });
 });
 
-describe('without confirmation of the configuration', () => {
+describe('while the configuration cannot be confirmed', () => {
   it('refuses keyed requests, serves open routes and holds streams back', async () => {
     const body = formatCompletion(1_500, { max_tokens: 1_500 });
     const stream = await harness.open('/v1/completions', { method: 'POST', body });
     harness.isFeedServed = false;
-    await waitFor('the freshness to run out', async () => {
+    await waitFor('the copy of the configuration to become too old', async () => {
       const answer = await harness.call('/readyz', { key: undefined });
       return answer.status === 503;
     });
--- a/src/entry/EdgeQueue.test.ts
+++ b/src/entry/EdgeQueue.test.ts
@@ -4,7 +4,7 @@
 import { Ok } from '../common/Result.js';
 import { EdgeHarness, waitFor } from './EdgeHarness.js';
 import { OpenRequest } from './OpenRequests.js';
-import { enterPlain } from './PlainFlow.js';
+import { admitPlainCall } from './PlainFlow.js';
 import { QueueStage } from './QueueStage.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
@@ -18,7 +18,7 @@
 }
 
 describe('a refused request', () => {
-  it('gets all its tokens back and is said not to have run', async () => {
+  it('is refunded all its tokens and reported as not run', async () => {
     const clock = { now: () => 0 };
     const queue = new DispatchQueue(clock, {
       listLoads: () => [{ target: 'desk-0', load: 0 }],
@@ -30,15 +30,15 @@
     const admission = { settle: (usedTokens: number) => settled.push(usedTokens) };
     const admitter = { admit: () => Promise.resolve(Ok(admission)) };
     const body = Buffer.alloc(40);
-    const first = await enterPlain(admitter, stage, createContext('1'), body);
-    const second = await enterPlain(admitter, stage, createContext('2'), body);
+    const first = await admitPlainCall(admitter, stage, createContext('1'), body);
+    const second = await admitPlainCall(admitter, stage, createContext('2'), body);
     expect([first.ok, settled]).toEqual([true, [10, 0]]);
     expect(second.val).toMatchObject({ code: 'overloaded', ran: 'no' });
     expect((second.val as { retryAfterMs: number }).retryAfterMs).toBeGreaterThan(0);
   });
 });
 
-describe('the fair queue in the entry', () => {
+describe('the fair queue of the entry', () => {
   let harness: EdgeHarness;
 
   beforeAll(async () => {
@@ -49,11 +49,11 @@
     await harness.dispose();
   });
 
-  it('serves an account before the backlog of another one that floods', async () => {
+  it('serves a client account before the backlog of another one that sends too much', async () => {
     await harness.addAccount('hvar', 1e8);
-    const { text: key } = await harness.giveKey('hvar');
+    const { text: key } = await harness.createKey('hvar');
     let flooded = 0;
-    // One target takes 8 at a time, so the flood takes ten rounds of 200 ms.
+    // One target runs 8 requests at a time, so these 80 take ten rounds of 200 ms.
     const flood = Array.from({ length: 80 }, async () => {
       const body = JSON.stringify({ delayMs: 200 });
       const answer = await harness.call('/stock/linen', { method: 'POST', body });
@@ -64,8 +64,8 @@
       const text = harness.entries[0]?.metrics.render() ?? '';
       return Number(/^redwingwharf_queued_requests (\d+)$/m.exec(text)?.[1] ?? 0) > 40;
     });
-    const calm = await harness.call('/stock/linen', { key });
-    expect(calm.status).toBe(200);
+    const otherAnswer = await harness.call('/stock/linen', { key });
+    expect(otherAnswer.status).toBe(200);
     expect(flooded).toBeLessThan(60);
     const statuses = new Set(await Promise.all(flood));
     expect([...statuses]).toEqual([201]);
--- a/src/entry/EdgeStreams.test.ts
+++ b/src/entry/EdgeStreams.test.ts
@@ -3,36 +3,36 @@
 import { afterAll, afterEach, beforeAll, describe, expect, it } from 'vitest';
 import { sendJson } from '../../fakes/Http.js';
 import type { Engine } from '../../fakes/Engine.js';
-import { EdgeHarness, formatCompletion, waitFor, type TargetFake } from './EdgeHarness.js';
+import { EdgeHarness, formatCompletion, waitFor, type FakeTarget } from './EdgeHarness.js';
 
 let harness: EdgeHarness;
 
-/** Ids of the events in the order in which they came. */
-function listIds(stream: string): number[] {
+/** Ids of the events in the order of their arrival. */
+function listEventIds(stream: string): number[] {
   return [...stream.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]));
 }
 
-/** The tokens, the usage and the end marker, each once and in order. */
+/** Expects the tokens, the usage and the final event, each once and in order. */
 function expectComplete(stream: string, tokens: number): void {
-  expect(listIds(stream)).toEqual(Array.from({ length: tokens + 2 }, (_, index) => index + 1));
+  expect(listEventIds(stream)).toEqual(Array.from({ length: tokens + 2 }, (_, index) => index + 1));
   expect(stream.endsWith('data: [DONE]\n\n')).toBe(true);
 }
 
-/** The engine that generates. */
-async function awaitBusy(): Promise<TargetFake & { readonly engine: Engine }> {
-  let busy: TargetFake | undefined;
+/** Waits for an engine that is generating. */
+async function awaitBusyEngine(): Promise<FakeTarget & { readonly engine: Engine }> {
+  let busy: FakeTarget | undefined;
   await waitFor('a busy engine', () => {
     busy = harness.targets.find(({ engine }) => (engine?.reportLoad().running ?? 0) > 0);
     return busy !== undefined;
   });
-  return busy as TargetFake & { readonly engine: Engine };
+  return busy as FakeTarget & { readonly engine: Engine };
 }
 
 async function openStream(tokens: number): ReturnType<EdgeHarness['open']> {
   return harness.open('/v1/completions', { method: 'POST', body: formatCompletion(tokens) });
 }
 
-/** Engine that sends events as fast as they are taken, and counts their bytes. */
+/** Creates an engine that sends events as fast as they are read and counts their bytes. */
 function createFloodEngine(count: { sent: number }): Server {
   const data = 'x'.repeat(16 * 1024);
   return createServer((request, response) => {
@@ -77,10 +77,10 @@
     await harness.dispose();
   });
 
-  it('resumes without a lost or doubled event when the engine breaks off', async () => {
+  it('resumes without a lost or duplicated event when the engine breaks the connection', async () => {
     const response = await openStream(200);
     const text = response.body.text();
-    const engine = await awaitBusy();
+    const engine = await awaitBusyEngine();
     for (let cut = 0; cut < 3; cut++) {
       await new Promise((resolve) => setTimeout(resolve, 150));
       engine.cutConnections();
@@ -88,22 +88,22 @@
     expectComplete(await text, 200);
   });
 
-  it('is cancelled at the engine when the caller leaves, so that no work is wasted', async () => {
+  it('is cancelled at the engine when the caller disconnects, so that no work is wasted', async () => {
     const response = await openStream(100_000);
-    const { engine } = await awaitBusy();
+    const { engine } = await awaitBusyEngine();
     response.body.on('error', () => undefined).destroy();
     await waitFor('the end of the generation', () => engine.reportLoad().running === 0);
     expect(engine.reportLoad().running).toBe(0);
   });
 
-  it('ends with an error event when the engine is gone', async () => {
+  it('ends with an error event when the engine stops', async () => {
     const response = await openStream(1_000);
     const text = response.body.text();
-    (await awaitBusy()).stop();
+    (await awaitBusyEngine()).stop();
     const stream = await text;
     expect(stream).toMatch(/event: error\ndata: {"error":{"type":"server_error","code":"stream_br/);
     expect(stream).not.toContain('[DONE]');
-    const ids = listIds(stream);
+    const ids = listEventIds(stream);
     expect(ids).toEqual(ids.map((_, index) => index + 1));
   });
 });
@@ -113,29 +113,29 @@
     await harness.dispose();
   });
 
-  it('starts on another engine when the first one is gone before the first event', async () => {
+  it('starts on another engine when the first one stops before the first event', async () => {
     // 600 tokens at 400 tokens/s: the prompt takes 1.5 s.
     const slow = { prefillTokensPerSecond: 400 };
     harness = await EdgeHarness.start({ engines: [slow, slow], plainTargets: 0 });
     const body = formatCompletion(5, { prompt: 'word '.repeat(480) });
     const opened = harness.open('/v1/completions', { method: 'POST', body });
-    (await awaitBusy()).stop();
+    (await awaitBusyEngine()).stop();
     const response = await opened;
     expectComplete(await response.body.text(), 5);
   });
 
-  it('holds a bounded number of bytes for a caller that does not read', async () => {
+  it('buffers a bounded number of bytes for a caller that does not read', async () => {
     const count = { sent: 0 };
     harness = await EdgeHarness.start({ engines: [createFloodEngine(count)], plainTargets: 0 });
     const response = await openStream(1_000);
     let last = -1;
-    await waitFor('the engine to be held back', async () => {
-      const isStill = count.sent > 0 && count.sent === last;
+    await waitFor('the engine to be stalled by back-pressure', async () => {
+      const isStalled = count.sent > 0 && count.sent === last;
       last = count.sent;
       await new Promise((resolve) => setTimeout(resolve, 300));
-      return isStill;
+      return isStalled;
     });
-    // Buffers of four loopback connections; without back-pressure the count grows by 100 MB/s.
+    // Room for the buffers of four loopback connections; without back-pressure the count grows by 100 MB/s.
     expect(count.sent).toBeLessThan(64 * 1024 * 1024);
     expect(harness.entries[0]?.role.entry.bufferedBytes).toBeLessThan(1024 * 1024);
     response.body.on('error', () => undefined).destroy();
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -1,4 +1,4 @@
-/** HTTP server for callers: routes each request through the pipeline. */
+/** HTTP server for callers. */
 import { randomUUID } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -20,30 +20,35 @@
 import { IDEMPOTENCY_KEY_HEADER, type ClaimFlow } from './ClaimFlow.js';
 import { formatClientError, MAX_HEADER_BYTES } from './ClientErrors.js';
 import type { Directory } from './Directory.js';
-import { describeUnlooked, refuse, sendFailure, type IHttpFailure } from './Failures.js';
-import { hasKeyForm, hasKeyInBody } from './KeyFilter.js';
+import {
+  describeUncheckedClaim,
+  createRefusal,
+  sendFailure,
+  type IHttpFailure,
+} from './Failures.js';
+import { mayContainKey, hasKeyInBody } from './KeyFilter.js';
 import type { ModelFlow } from './ModelFlow.js';
 import { OpenRequest, type OpenRequests } from './OpenRequests.js';
 import { parseModelRequest, readBody } from './Parse.js';
 import type { PlainFlow } from './PlainFlow.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Node looks for connections past their header time at this interval; its default is 30 s. */
-const CONNECTION_CHECK_MS = 1_000;
+/** Interval at which Node checks connections for the header timeout; its default is 30 s. */
+const CONNECTION_CHECK_INTERVAL_MS = 1_000;
 
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-/** Interval of the checks of open requests: a withdrawn key ends them within it. */
-const CHECK_INTERVAL_MS = 250;
+/** Bounds the time for which an open request continues after its key was withdrawn. */
+const OPEN_REQUEST_CHECK_INTERVAL_MS = 250;
 
-/** Time in which the balancer notices that this instance is not ready, while requests are served. */
-const DRAIN_NOTICE_MS = 2_000;
+/** Time for the load balancer to see that this instance is not ready; requests are served meanwhile. */
+const DRAIN_NOTICE_PERIOD_MS = 2_000;
 
-const DRAIN_POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 const MODEL_PATHS: ReadonlySet<string> = new Set(['/v1/chat/completions', '/v1/completions']);
 
-/** Times that a caller has to send a request. */
+/** Time limits for a caller to send a request. */
 export interface IEntryLimits {
   readonly headerTimeoutMs: number;
   readonly bodyTimeoutMs: number;
@@ -51,14 +56,14 @@
 
 const DEFAULT_LIMITS: IEntryLimits = { headerTimeoutMs: 10_000, bodyTimeoutMs: 60_000 };
 
-/** Flows that the entry hands requests to. */
+/** Flows that serve requests, one for each kind of call. */
 export interface IEntryFlows {
   readonly model: ModelFlow;
   readonly plain: PlainFlow;
   readonly claim: ClaimFlow;
 }
 
-/** What a path leads to. */
+/** What a path and a method resolve to. */
 type Destination =
   | { readonly kind: 'model' }
   | { readonly kind: 'models' }
@@ -69,11 +74,13 @@
       readonly isNonRepeatable: boolean;
     };
 
-/** A request before its destination is known. */
-type IArrival = Pick<IRequestContext, 'request' | 'response' | 'requestId' | 'startedAt'>;
+/** The fields of a request's context that are set before its destination is known. */
+type RequestBase = Pick<IRequestContext, 'request' | 'response' | 'requestId' | 'startedAt'>;
 
 /**
- * Entry role.
+ * Accepts the requests of callers: authenticates them, finds their service and runs the flow that serves
+ * them. Also answers health probes and the list of models, checks open requests at an interval, and drains
+ * before a shutdown.
  *
  * @example
  * const entry = new Entry('127.0.0.1:8080', directory, openRequests, flows, services);
@@ -82,9 +89,9 @@
 export class Entry {
   private readonly _server: Server;
   private readonly _checkTimer: NodeJS.Timeout;
-  /** Responses that were not handed to the network completely. */
+  /** Responses that are not yet completely handed to the network. */
   private readonly _responses = new Set<ServerResponse>();
-  /** Connections that sent no valid HTTP. */
+  /** Connections whose input was rejected as invalid HTTP. */
   private readonly _refusedSockets = new WeakSet<Socket>();
   private _isDraining = false;
 
@@ -100,8 +107,8 @@
       {
         maxHeaderSize: MAX_HEADER_BYTES,
         headersTimeout: _limits.headerTimeoutMs,
-        connectionsCheckingInterval: CONNECTION_CHECK_MS,
-        // Bodies have a timer of their own and answers the deadline of their service.
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
+        // `readBody` limits the time for the body, and the service's deadline that for the answer.
         requestTimeout: 0,
         keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
       },
@@ -114,14 +121,14 @@
     });
     this._checkTimer = setInterval(() => {
       this._openRequests.check(this._services.clock.now());
-    }, CHECK_INTERVAL_MS);
+    }, OPEN_REQUEST_CHECK_INTERVAL_MS);
   }
 
   public get isDraining(): boolean {
     return this._isDraining;
   }
 
-  /** Bytes of responses that callers have not taken yet. */
+  /** Bytes of responses that are buffered because callers have not read them yet. */
   public get bufferedBytes(): number {
     let bytes = 0;
     for (const response of this._responses) {
@@ -130,7 +137,7 @@
     return bytes;
   }
 
-  /** True when the balancer may send requests here. */
+  /** True if the load balancer may send requests to this instance. */
   public isReady(now: number): boolean {
     return !this._isDraining && isFresh(this._services.feed, now);
   }
@@ -142,22 +149,22 @@
   }
 
   /**
-   * Shuts down without cutting a request: tells the balancer, goes on serving while it notices, stops
-   * accepting, and waits for the open requests.
+   * Drains without interrupting a request: reports "not ready" to the load balancer, serves for
+   * `DRAIN_NOTICE_PERIOD_MS`, closes the listener, and waits for the open requests up to `timeoutMs`.
    */
   public async drain(timeoutMs: number, signal: AbortSignal): Promise<void> {
     TEST_ONLY: if (isBroken('graceful-drain')) return;
     this._isDraining = true;
     for (const response of this._responses) {
-      endConnection(response);
+      closeAfterResponse(response);
     }
     const { clock } = this._services;
-    const giveUpAt = clock.now() + timeoutMs;
-    await sleep(Math.min(DRAIN_NOTICE_MS, timeoutMs), signal);
+    const deadlineAt = clock.now() + timeoutMs;
+    await sleep(Math.min(DRAIN_NOTICE_PERIOD_MS, timeoutMs), signal);
     this._server.close();
-    while (this._isBusy() && clock.now() < giveUpAt && !signal.aborted) {
+    while (this._isBusy() && clock.now() < deadlineAt && !signal.aborted) {
       this._server.closeIdleConnections();
-      await sleep(DRAIN_POLL_MS, signal);
+      await sleep(DRAIN_POLL_INTERVAL_MS, signal);
     }
   }
 
@@ -167,15 +174,19 @@
     this._server.closeAllConnections();
   }
 
-  /** Answers bytes that are no request, unless a response to an earlier request is due first. */
+  /**
+   * Answers input that is not valid HTTP. If earlier requests on the connection still await their responses,
+   * no error is sent and the connection is closed after the last of these responses.
+   */
   private _handleClientError(error: NodeJS.ErrnoException, socket: Socket): void {
-    const earlier = [...this._responses].filter(({ req }) => req.socket === socket);
-    const due = earlier.filter(({ req, headersSent }) => req.complete || headersSent);
+    const openResponses = [...this._responses].filter(({ req }) => req.socket === socket);
+    const pendingResponses = openResponses.filter(
+      ({ req, headersSent }) => req.complete || headersSent,
+    );
     const isAnswered = this._refusedSockets.has(socket);
     this._refusedSockets.add(socket);
-    if (due.length > 0) {
-      // The connection ends with the last response that is due.
-      due.at(-1)?.once('close', () => socket.destroy());
+    if (pendingResponses.length > 0) {
+      pendingResponses.at(-1)?.once('close', () => socket.destroy());
     } else if (isAnswered || !socket.writable || error.code === 'ECONNRESET') {
       socket.destroy();
     } else {
@@ -183,7 +194,7 @@
     }
   }
 
-  /** A response is open until its last byte is handed on, a claimed call until it is settled. */
+  /** True while a response is not completely handed to the network or a claimed call is not settled. */
   private _isBusy(): boolean {
     return this._responses.size > 0 || this._openRequests.size > 0;
   }
@@ -194,7 +205,7 @@
     this._responses.add(response);
     response.once('close', () => this._responses.delete(response));
     if (this._isDraining) {
-      endConnection(response);
+      closeAfterResponse(response);
     }
     try {
       const failure = await this._route(request, response, requestId, startedAt);
@@ -204,7 +215,7 @@
     } catch (error) {
       this._services.log.error('request failed', { requestId, error: describeError(error) });
       const message = 'An error inside the router; report the request id to the operator.';
-      sendFailure(response, { ...refuse('internal', message), ran: 'unknown' }, requestId);
+      sendFailure(response, { ...createRefusal('internal', message), ran: 'unknown' }, requestId);
     }
   }
 
@@ -216,7 +227,7 @@
   ): Promise<IHttpFailure | undefined> {
     const url = parseUrl(request.url ?? '/');
     if (url === undefined) {
-      return refuse('bad_request', 'Send a valid path.');
+      return createRefusal('bad_request', 'Send a valid path.');
     }
     if (url.pathname === '/healthz' || url.pathname === '/readyz') {
       this._answerProbe(url.pathname, response);
@@ -225,15 +236,19 @@
     const destination = this._findDestination(url.pathname, request.method ?? 'GET');
     const failure = destination.err
       ? destination.val
-      : await this._enter({ request, response, requestId, startedAt }, url, destination.val);
-    const isRepeatable = destination.ok && !isClaimed(destination.val);
+      : await this._checkAndServe(
+          { request, response, requestId, startedAt },
+          url,
+          destination.val,
+        );
+    const isRepeatable = destination.ok && !needsClaim(destination.val);
     const mayHaveRun = !isRepeatable && request.headers[IDEMPOTENCY_KEY_HEADER] !== undefined;
-    return failure !== undefined && mayHaveRun ? describeUnlooked(failure) : failure;
+    return failure !== undefined && mayHaveRun ? describeUncheckedClaim(failure) : failure;
   }
 
-  /** Checks the caller and the body, and hands the request to its flow. */
-  private async _enter(
-    base: IArrival,
+  /** Authenticates the caller, reads the body and serves the request. */
+  private async _checkAndServe(
+    base: RequestBase,
     url: URL,
     destination: Destination,
   ): Promise<IHttpFailure | undefined> {
@@ -246,39 +261,39 @@
       this._answerModels(response, caller.val, requestId);
       return undefined;
     }
-    if (hasKeyForm(url.pathname)) {
-      return refuse('key_in_request', 'Send your key in the header only, not in the path.');
+    if (mayContainKey(url.pathname)) {
+      return createRefusal('key_in_request', 'Send your key in the header only, not in the path.');
     }
     const body = await readBody(request, this._limits.bodyTimeoutMs);
     if (body.err) {
       return body.val;
     }
     if (hasKeyInBody(body.val, listKeys(request.headers, url.searchParams))) {
-      return refuse('key_in_request', 'Send your key in the header only, not in the body.');
+      return createRefusal('key_in_request', 'Send your key in the header only, not in the body.');
     }
-    // The key may have been withdrawn while the body arrived.
-    const checked = this._authenticate(request, url, destination);
-    if (checked.err) {
-      return checked.val;
+    // Authenticates again, because the key may have been withdrawn while the body arrived.
+    const recheckedCaller = this._authenticate(request, url, destination);
+    if (recheckedCaller.err) {
+      return recheckedCaller.val;
     }
     const path = stripKeyFromQuery(url);
-    return this._serve({ ...base, path }, destination, checked.val, body.val);
+    return this._serve({ ...base, path }, destination, recheckedCaller.val, body.val);
   }
 
   private _findDestination(path: string, method: string): Result<Destination, IHttpFailure> {
     if (MODEL_PATHS.has(path)) {
-      return method === 'POST' ? Ok({ kind: 'model' }) : Err(describeMethod('POST'));
+      return method === 'POST' ? Ok({ kind: 'model' }) : Err(describeMethodNotAllowed('POST'));
     }
     if (path === '/v1/models') {
-      return method === 'GET' ? Ok({ kind: 'models' }) : Err(describeMethod('GET'));
+      return method === 'GET' ? Ok({ kind: 'models' }) : Err(describeMethodNotAllowed('GET'));
     }
     const match = this._directory.findRoute(path);
     if (match === undefined) {
-      return Err(refuse('route_unknown', 'No service has this path; check the path.'));
+      return Err(createRefusal('route_unknown', 'No service has this path; check the path.'));
     }
     const { service, route } = match;
     if (route.methods.length > 0 && !route.methods.includes(method)) {
-      return Err(describeMethod(route.methods.join(', ')));
+      return Err(describeMethodNotAllowed(route.methods.join(', ')));
     }
     const isNonRepeatable = route.nonRepeatable && method !== 'GET' && method !== 'HEAD';
     return Ok({ kind: 'plain', service, isOpen: route.open, isNonRepeatable });
@@ -306,14 +321,16 @@
   }
 
   private async _serve(
-    base: IArrival & Pick<IRequestContext, 'path'>,
+    base: RequestBase & Pick<IRequestContext, 'path'>,
     destination: Exclude<Destination, { kind: 'models' }>,
     caller: ICaller | undefined,
     body: Buffer,
   ): Promise<IHttpFailure | undefined> {
     if (destination.kind === 'plain') {
       const flow = destination.isNonRepeatable ? this._flows.claim : this._flows.plain;
-      await this._runOpen(base, destination.service, caller, (context) => flow.run(context, body));
+      await this._runRegistered(base, destination.service, caller, (context) =>
+        flow.run(context, body),
+      );
       return undefined;
     }
     const model = parseModelRequest(body);
@@ -322,32 +339,35 @@
     }
     const service = this._directory.findModelService(model.val.model);
     if (service === undefined || caller === undefined) {
-      return refuse('model_unknown', 'No service offers this model; GET /v1/models lists them.');
+      return createRefusal(
+        'model_unknown',
+        'No service offers this model; GET /v1/models lists them.',
+      );
     }
     const allowed = authorise(caller, service.name);
     if (allowed.err) {
       return allowed.val;
     }
-    await this._runOpen(base, service, caller, (context) =>
+    await this._runRegistered(base, service, caller, (context) =>
       this._flows.model.run(context, model.val),
     );
     return undefined;
   }
 
-  /** Runs a flow while the request stands in the registry of open requests. */
-  private async _runOpen(
-    base: IArrival & Pick<IRequestContext, 'path'>,
+  /** Runs a flow; meanwhile the request is in the registry of open requests. */
+  private async _runRegistered(
+    base: RequestBase & Pick<IRequestContext, 'path'>,
     service: Service,
     caller: ICaller | undefined,
     run: (context: IRequestContext) => Promise<void>,
   ): Promise<void> {
     const open = new OpenRequest(base.requestId, caller, base.startedAt + service.timeoutMs);
-    const endOpen = (): void => {
+    const endUnfinished = (): void => {
       if (!base.response.writableFinished) {
         open.end('client_gone');
       }
     };
-    base.response.once('close', endOpen);
+    base.response.once('close', endUnfinished);
     this._openRequests.add(open);
     try {
       await run({ ...base, service, caller, open });
@@ -382,15 +402,15 @@
   }
 }
 
-/** Makes the response the last one on its connection, if its head was not sent yet. */
-function endConnection(response: ServerResponse): void {
+/** Sets `connection: close` on a response unless its head was sent already. */
+function closeAfterResponse(response: ServerResponse): void {
   if (!response.headersSent) {
     response.setHeader('connection', 'close');
   }
 }
 
-/** True for calls that may run at most once. */
-function isClaimed(destination: Destination): boolean {
+/** True for calls that must run at most once. */
+function needsClaim(destination: Destination): boolean {
   return destination.kind === 'plain' && destination.isNonRepeatable;
 }
 
@@ -402,6 +422,6 @@
   }
 }
 
-function describeMethod(allowed: string): IHttpFailure {
-  return refuse('method_not_allowed', `Use one of these methods: ${allowed}.`);
+function describeMethodNotAllowed(allowed: string): IHttpFailure {
+  return createRefusal('method_not_allowed', `Use one of these methods: ${allowed}.`);
 }
--- a/src/entry/Failures.ts
+++ b/src/entry/Failures.ts
@@ -1,13 +1,13 @@
-/** Typed errors of the HTTP edge. Each message names the remedy. */
+/** Errors that callers get over HTTP. Each message says what the caller can do. */
 import type { ServerResponse } from 'node:http';
 
-/** Whether the request reached a target. `no` is said only when it is provable. */
+/** Whether a target ran the request; `no` only if it is proven that none did. Sent as `x-rww-ran`. */
 export type Ran = 'no' | 'yes' | 'unknown';
 
-/** Time for which the rest of a refused upload is discarded. */
-const DISCARD_MS = 1_000;
+/** Time for which the remaining bytes of a refused upload are read and discarded. */
+const DISCARD_TIMEOUT_MS = 1_000;
 
-/** Codes with their status and OpenAI-style error type. */
+/** HTTP status and OpenAI-compatible error type of each error code. */
 const FAILURE_KINDS = {
   bad_request: { status: 400, type: 'invalid_request_error' },
   bad_json: { status: 400, type: 'invalid_request_error' },
@@ -48,22 +48,26 @@
   readonly code: FailureCode;
   readonly message: string;
   readonly ran: Ran;
-  /** Time after which a new try makes sense. */
+  /** Time after which a retry may succeed; undefined if it is not known. */
   readonly retryAfterMs: number | undefined;
 }
 
 /**
- * Creates a failure of a request that did not run.
+ * Creates the failure of a request that is proven not to have run.
  *
  * @example
  * return Err(refuse('key_missing', 'Send the key in the header Authorization: Bearer.'));
  */
-export function refuse(code: FailureCode, message: string, retryAfterMs?: number): IHttpFailure {
+export function createRefusal(
+  code: FailureCode,
+  message: string,
+  retryAfterMs?: number,
+): IHttpFailure {
   return { code, message, ran: 'no', retryAfterMs };
 }
 
-/** Creates a failure of a request that ran, or of which that is not known. */
-export function fail(
+/** Creates the failure of a request that ran or may have run. */
+export function createFailure(
   code: FailureCode,
   message: string,
   ran: Ran,
@@ -73,10 +77,10 @@
 }
 
 /**
- * Words the refusal of a request with an Idempotency-Key whose claim was not looked up: an earlier
- * request with the same key may have run, so "not run" would not be true for the call.
+ * Changes the refusal of a request with an Idempotency-Key whose claim was not looked up: an earlier
+ * request with the same key may have run, so `ran` becomes `unknown` and the message says so.
  */
-export function describeUnlooked(failure: IHttpFailure): IHttpFailure {
+export function describeUncheckedClaim(failure: IHttpFailure): IHttpFailure {
   if (failure.ran !== 'no') {
     return failure;
   }
@@ -98,7 +102,7 @@
   return JSON.stringify({ error: { type, code, message, request_id: requestId } });
 }
 
-/** Answers a request with a failure; a response that already started is cut off. */
+/** Answers a request with a failure. A response that has already begun is aborted instead. */
 export function sendFailure(
   response: ServerResponse,
   failure: IHttpFailure,
@@ -119,7 +123,7 @@
     headers['retry-after'] = Math.max(1, Math.ceil(failure.retryAfterMs / 1_000));
   }
   if (failure.code === 'body_too_large' || failure.code === 'request_timeout') {
-    // The rest of the body is not read, so the connection cannot be used again.
+    // The remaining body is not read, so the connection cannot be used again.
     headers.connection = 'close';
   }
   response.writeHead(getStatus(failure), headers);
@@ -132,8 +136,8 @@
 }
 
 /**
- * Closing a connection while the caller still sends resets it, and the caller may lose the response that
- * was on its way. What arrives is therefore discarded for a short time before the close.
+ * Reads and discards the upload for up to `DISCARD_TIMEOUT_MS`, then ends the response. Closing the
+ * connection while the caller still sends would reset it, and the caller might lose the response.
  */
 function discardUpload(response: ServerResponse): void {
   const { req: request } = response;
@@ -141,7 +145,7 @@
     clearTimeout(timer);
     response.end();
   };
-  const timer = setTimeout(end, DISCARD_MS);
+  const timer = setTimeout(end, DISCARD_TIMEOUT_MS);
   request.once('close', end);
   request.once('end', end);
   request.resume();
--- a/src/entry/ForwardHeaders.ts
+++ b/src/entry/ForwardHeaders.ts
@@ -1,11 +1,11 @@
-/** Which headers pass between caller and target. */
+/** Selects the headers that are forwarded between caller and target. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 import { isBroken } from '../common/TestSwitches.js';
-import { hasKeyForm } from './KeyFilter.js';
+import { mayContainKey } from './KeyFilter.js';
 
-/** Headers of a request that a target may see. Keys, cookies and unknown headers stay here. */
-const REQUEST_HEADERS = [
+/** Request headers that are forwarded to targets. Keys, cookies and unknown headers are not. */
+const FORWARDED_REQUEST_HEADERS = [
   'accept',
   'accept-language',
   'content-type',
@@ -17,7 +17,7 @@
   'user-agent',
 ] as const;
 
-/** Headers of an answer that belong to one connection or to the inner hop. */
+/** Answer headers that are not forwarded: they apply to one connection or to the hop inside the system. */
 const DROPPED_ANSWER_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -30,20 +30,20 @@
   'x-stream-id',
 ]);
 
-/** Copies the request headers that a target may see, without values that hold a key. */
+/** Copies the request headers that are forwarded to targets, except those that may contain a key. */
 export function pickRequestHeaders(headers: IncomingHttpHeaders): Record<string, string> {
   const picked: Record<string, string> = {};
   TEST_ONLY: if (isBroken('forward-key')) picked.authorization = headers.authorization ?? '';
-  for (const name of REQUEST_HEADERS) {
+  for (const name of FORWARDED_REQUEST_HEADERS) {
     const value = headers[name];
-    if (typeof value === 'string' && !hasKeyForm(value)) {
+    if (typeof value === 'string' && !mayContainKey(value)) {
       picked[name] = value;
     }
   }
   return picked;
 }
 
-/** Copies the answer headers that the caller may see. */
+/** Copies the answer headers that are forwarded to callers. */
 export function pickAnswerHeaders(
   headers: Dispatcher.ResponseData['headers'],
 ): Record<string, string | string[]> {
--- a/src/entry/KeyFilter.ts
+++ b/src/entry/KeyFilter.ts
@@ -1,18 +1,18 @@
-/** Finds keys of callers in what would go to a target. */
+/** Detects keys of callers in data that would be forwarded to a target. */
 
 import { parseCallerKey } from '../common/CallerKeys.js';
 
-/** The form of a key anywhere in a text. */
-const KEY_FORM = /rww_[0-9a-f]{12}_[A-Za-z0-9_-]{43}/i;
+/** Matches a caller's key anywhere in a text. */
+const KEY_PATTERN = /rww_[0-9a-f]{12}_[A-Za-z0-9_-]{43}/i;
 
-/** Rounds of percent-decoding; a text that is still encoded after them is treated as if it held a key. */
-const MAX_DECODINGS = 4;
+/** A text that is still percent-encoded after this many rounds is treated as if it contained a key. */
+const MAX_DECODING_ROUNDS = 4;
 
-/** True when the text holds something in the form of a key, percent-encoded or not. */
-export function hasKeyForm(text: string): boolean {
+/** True if the text contains something that looks like a key, percent-encoded or not. */
+export function mayContainKey(text: string): boolean {
   let decoded = text;
-  for (let round = 0; round < MAX_DECODINGS; round++) {
-    if (KEY_FORM.test(decoded)) {
+  for (let round = 0; round < MAX_DECODING_ROUNDS; round++) {
+    if (KEY_PATTERN.test(decoded)) {
       return true;
     }
     const next = decodePercent(decoded);
@@ -25,8 +25,8 @@
 }
 
 /**
- * True when the body holds one of the keys, also with characters in percent or JSON escapes. Other
- * encodings, for instance base64, are not searched.
+ * True if the body contains one of the keys, plain or with characters as percent or JSON escapes. Keys in
+ * other encodings, such as base64, are not found.
  */
 export function hasKeyInBody(body: Buffer, keys: readonly string[]): boolean {
   const wellFormed = keys.filter((key) => parseCallerKey(key) !== undefined);
@@ -34,18 +34,18 @@
     return false;
   }
   const text = body.toString('latin1');
-  return wellFormed.some((key) => buildPattern(key).test(text));
+  return wellFormed.some((key) => buildKeyPattern(key).test(text));
 }
 
-/** Decodes ASCII escapes only, so that malformed or other escapes cannot fail. */
+/** Decodes only ASCII escapes and leaves all others, so it never throws on malformed input. */
 function decodePercent(text: string): string {
   return text.replace(/%([0-7][0-9a-f])/gi, (_, hex: string) =>
     String.fromCharCode(parseInt(hex, 16)),
   );
 }
 
-/** Letters, digits, "_" and "-" stand for themselves in a pattern. */
-function buildPattern(key: string): RegExp {
+/** Matches a key in any mix of plain and escaped characters. Its characters need no escape in a RegExp. */
+function buildKeyPattern(key: string): RegExp {
   const parts = Array.from(key, (character) => {
     const hex = character.charCodeAt(0).toString(16);
     const digits = Array.from(hex, (digit) => `[${digit}${digit.toUpperCase()}]`).join('');
--- a/src/entry/ModelFlow.ts
+++ b/src/entry/ModelFlow.ts
@@ -1,29 +1,32 @@
-/** Completion requests: admit, choose, dispatch, relay and settle. */
+/** Flow of completion requests: admit, queue, dispatch, relay and settle. */
 import { readAnswer } from '../common/HttpAnswer.js';
 import { readUsage } from './SseScanner.js';
 import { pickAnswerHeaders, pickRequestHeaders } from './ForwardHeaders.js';
 import { convertLoad, type Chooser, type IChoice, type IChooseInput } from './Chooser.js';
 import type { DispatchClient } from './DispatchClient.js';
-import type { Dispatcher, IDispatched, IOutgoing } from './Dispatcher.js';
-import { fail, sendFailure, type IHttpFailure } from './Failures.js';
+import type { Dispatcher, IAnsweredDispatch, IOutgoingRequest } from './Dispatcher.js';
+import { createFailure, sendFailure, type IHttpFailure } from './Failures.js';
 import type { OpenRequests } from './OpenRequests.js';
 import type { IModelRequest } from './Parse.js';
 import type { QueueStage } from './QueueStage.js';
 import { StreamRelay } from './StreamRelay.js';
-import { describeEnd, describeNotRun, recordRefusal } from './Outcomes.js';
+import { describeEndReason, describeNotRun, recordRefusal } from './RequestOutcomes.js';
 import type { IAdmitter, IFlowServices, IRequestContext } from './Types.js';
-import { sendAnswer } from './WholeAnswer.js';
+import { sendAnswer } from './BufferedAnswer.js';
 
-/** Fresh starts of one request after a target broke off before anything was relayed. */
-const MAX_STARTS = 3;
+/**
+ * Rounds of dispatch for one request, the first one included. A round is repeated when the connection to
+ * the target broke before anything was relayed.
+ */
+const MAX_DISPATCH_ROUNDS = 3;
 
-/** What was served, for settlement and the log. */
+/** How a request was served, for the settlement of its tokens and for the log. */
 interface IServed {
   readonly result: 'complete' | 'failed' | 'ended';
   readonly outputTokens: number;
   readonly cachedPromptTokens: number;
   readonly target: string | undefined;
-  /** True when a target may have computed the prompt. */
+  /** True if a target may have processed the prompt. */
   readonly mayHaveRun: boolean;
   readonly ttftMs: number | undefined;
 }
@@ -37,7 +40,10 @@
   ttftMs: undefined,
 };
 
-/** Serves completion requests of authenticated callers. */
+/**
+ * Serves completion requests of authenticated callers: reserves their tokens, waits for a dispatch slot,
+ * relays the answer, and refunds the tokens that were not used.
+ */
 export class ModelFlow {
   constructor(
     private readonly _admitter: IAdmitter,
@@ -61,17 +67,17 @@
       this._refuse(context, describeNotRun(context, admitted.val));
       return;
     }
-    const place = await this._queue.enter(context, tokens);
-    if (place.err) {
+    const slot = await this._queue.enter(context, tokens);
+    if (slot.err) {
       admitted.val.settle(0);
-      this._refuse(context, place.val);
+      this._refuse(context, slot.val);
       return;
     }
     let served = NOTHING_SERVED;
     try {
       served = await this._serve(context, model, outputLimit);
     } finally {
-      place.val.dispose();
+      slot.val.dispose();
       const promptTokens = served.mayHaveRun ? model.promptTokens : 0;
       admitted.val.settle(promptTokens + Math.min(outputLimit, served.outputTokens));
       this._recordEnd(context, served);
@@ -84,13 +90,13 @@
     outputLimit: number,
   ): Promise<IServed> {
     const input = buildInput(context, model);
-    const tried = new Set<string>();
-    for (let start = 1; start <= MAX_STARTS; start++) {
+    const triedTargets = new Set<string>();
+    for (let round = 1; round <= MAX_DISPATCH_ROUNDS; round++) {
       const dispatched = await this._dispatcher.run(
         context,
         input,
-        (choice) => buildOutgoing(context, model, choice, outputLimit),
-        tried,
+        (choice) => buildOutgoingRequest(context, model, choice, outputLimit),
+        triedTargets,
       );
       if (dispatched.err) {
         return this._endUnanswered(context, dispatched.val);
@@ -99,14 +105,17 @@
       if (served !== undefined) {
         return served;
       }
-      tried.add(dispatched.val.choice.view.id);
+      triedTargets.add(dispatched.val.choice.view.id);
     }
     const message = 'Several targets broke off; try again.';
-    this._refuse(context, fail('target_failed', message, 'unknown'));
+    this._refuse(context, createFailure('target_failed', message, 'unknown'));
     return NOTHING_SERVED;
   }
 
-  /** No target answered. A request that was ended from inside may be running until it is cancelled. */
+  /**
+   * Ends a request that no target answered. If the request was ended early after a dispatch, a target may
+   * still be running it.
+   */
   private _endUnanswered(context: IRequestContext, failure: IHttpFailure): IServed {
     if (context.open.signal.aborted && failure.ran !== 'no') {
       return this._endEarly(context, undefined);
@@ -115,16 +124,16 @@
     return NOTHING_SERVED;
   }
 
-  /** Returns undefined when the target broke off and nothing reached the caller. */
+  /** Relays the answer. Undefined if the target's connection broke before anything reached the caller. */
   private async _relay(
     context: IRequestContext,
     model: IModelRequest,
-    dispatched: IDispatched,
+    dispatched: IAnsweredDispatch,
   ): Promise<IServed | undefined> {
     const isStream = model.isStream && dispatched.outcome.response.statusCode === 200;
     const served = isStream
       ? await this._relayStream(context, dispatched)
-      : await this._relayWhole(context, dispatched);
+      : await this._relayBuffered(context, dispatched);
     const now = this._services.clock.now();
     if (served?.result === 'complete') {
       const { receipt } = dispatched.outcome;
@@ -145,7 +154,7 @@
 
   private async _relayStream(
     context: IRequestContext,
-    dispatched: IDispatched,
+    dispatched: IAnsweredDispatch,
   ): Promise<IServed | undefined> {
     const { choice } = dispatched;
     const { clock, metrics } = this._services;
@@ -157,7 +166,7 @@
     });
     const end = await relay.relay(dispatched);
     const firstEventAt = relay.firstEventAt;
-    const common = {
+    const commonFields = {
       target: choice.view.id,
       mayHaveRun: true,
       ttftMs: firstEventAt === undefined ? undefined : firstEventAt - context.startedAt,
@@ -165,7 +174,7 @@
     switch (end.kind) {
       case 'complete':
         return {
-          ...common,
+          ...commonFields,
           result: 'complete',
           outputTokens: end.usage?.outputTokens ?? 0,
           cachedPromptTokens: end.usage?.cachedPromptTokens ?? 0,
@@ -173,13 +182,18 @@
       case 'nothing_relayed':
         return undefined;
       case 'ended':
-        return { ...common, result: 'ended', outputTokens: end.events, cachedPromptTokens: 0 };
+        return {
+          ...commonFields,
+          result: 'ended',
+          outputTokens: end.eventCount,
+          cachedPromptTokens: 0,
+        };
     }
   }
 
-  private async _relayWhole(
+  private async _relayBuffered(
     context: IRequestContext,
-    dispatched: IDispatched,
+    dispatched: IAnsweredDispatch,
   ): Promise<IServed | undefined> {
     const { response: answer } = dispatched.outcome;
     const { open, response, requestId } = context;
@@ -208,11 +222,11 @@
   }
 
   /**
-   * The request was ended from inside before its answer was complete. The target may have generated
-   * up to the limit, so nothing of the reservation is refunded.
+   * Ends a request whose key, deadline or caller ended it before its answer was complete. The target may
+   * have generated tokens up to the limit, so nothing of the reservation is refunded.
    */
-  private _endEarly(context: IRequestContext, dispatched: IDispatched | undefined): IServed {
-    const failure = describeEnd(context);
+  private _endEarly(context: IRequestContext, dispatched: IAnsweredDispatch | undefined): IServed {
+    const failure = describeEndReason(context);
     if (failure !== undefined) {
       this._refuse(context, failure);
     }
@@ -257,12 +271,13 @@
   };
 }
 
-function buildOutgoing(
+/** Builds the request for the engine, with the cache salt, priority and output limit that the entry sets. */
+function buildOutgoingRequest(
   context: IRequestContext,
   model: IModelRequest,
   choice: IChoice,
   outputLimit: number,
-): IOutgoing {
+): IOutgoingRequest {
   const body = {
     ...model.body,
     max_tokens: outputLimit,
--- a/src/entry/OpenRequests.ts
+++ b/src/entry/OpenRequests.ts
@@ -1,18 +1,18 @@
-/** Keyed requests in progress. Their keys are checked while they run. */
+/** Requests in progress, whose keys and deadlines are checked while they run. */
 import { isBroken } from '../common/TestSwitches.js';
 import { isFresh } from '../feed/Freshness.js';
 import type { IFeed } from '../feed/Types.js';
 import { isKeyValid, type ICaller } from './Authenticate.js';
 import type { Directory } from './Directory.js';
 
-/** Why an open request was ended from inside. */
+/** Why an open request ended before its answer was complete. */
 export type EndReason = 'key_withdrawn' | 'deadline_exceeded' | 'client_gone';
 
-/** One request in progress. */
+/** One request in progress. It can be ended early, and its answer can be held back. */
 export class OpenRequest {
   private readonly _controller = new AbortController();
-  private _release: (() => void) | undefined;
-  private _held: Promise<void> | undefined;
+  private _resolveRelease: (() => void) | undefined;
+  private _releasePromise: Promise<void> | undefined;
   private _endReason: EndReason | undefined;
 
   constructor(
@@ -21,7 +21,7 @@
     public readonly deadlineAt: number,
   ) {}
 
-  /** Aborted when the request ends before its answer is complete. */
+  /** Aborted if the request ends before its answer is complete. */
   public get signal(): AbortSignal {
     return this._controller.signal;
   }
@@ -30,6 +30,7 @@
     return this._endReason;
   }
 
+  /** Ends the request early. Only the first reason is kept. */
   public end(reason: EndReason): void {
     this._endReason ??= reason;
     this._controller.abort();
@@ -37,33 +38,34 @@
   }
 
   public get isHeld(): boolean {
-    return this._held !== undefined;
+    return this._releasePromise !== undefined;
   }
 
-  /** Holds the answer back until `release`. */
+  /** Holds the answer back until `release` or `end`. */
   public hold(): void {
-    this._held ??= new Promise((resolve) => {
-      this._release = resolve;
+    this._releasePromise ??= new Promise((resolve) => {
+      this._resolveRelease = resolve;
     });
   }
 
   public release(): void {
-    this._release?.();
-    this._held = undefined;
-    this._release = undefined;
+    this._resolveRelease?.();
+    this._releasePromise = undefined;
+    this._resolveRelease = undefined;
   }
 
-  /** Resolves when the answer may be passed on. */
+  /** Resolves when the answer is not held back. Check `signal` afterwards: the request may have ended. */
   public async waitReleased(): Promise<void> {
-    while (this._held !== undefined) {
-      await this._held;
+    while (this._releasePromise !== undefined) {
+      await this._releasePromise;
     }
   }
 }
 
 /**
- * Registry of the open requests. `check` runs several times a second: it ends requests whose key was
- * withdrawn or whose deadline has passed, and holds answers back while keys cannot be confirmed.
+ * Registry of the open requests. `check` is called several times a second: it ends requests whose key was
+ * withdrawn or whose deadline has passed, and holds answers back while the copy of the configuration is too
+ * old to confirm their keys.
  */
 export class OpenRequests {
   private readonly _requests = new Set<OpenRequest>();
@@ -91,7 +93,10 @@
     }
   }
 
-  /** Checks one request. A process that was frozen checks before it passes on what had arrived. */
+  /**
+   * Checks one request. Also called before data is relayed: when the process was frozen, data that arrived
+   * meanwhile may be handled before the next call of `check`.
+   */
   public checkRequest(request: OpenRequest, now: number): void {
     TEST_ONLY: if (isBroken('open-streams')) return;
     if (now >= request.deadlineAt) {
--- a/src/entry/OutcomeQuery.ts
+++ b/src/entry/OutcomeQuery.ts
@@ -1,4 +1,4 @@
-/** Asks a sidecar what became of a claimed call. */
+/** Queries a sidecar for the outcome of a claimed call. */
 import { hasSameBytes } from '../common/Hashes.js';
 import { describeError } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
@@ -14,12 +14,12 @@
 import type { IFlowServices, IRequestContext } from './Types.js';
 
 const QUERY_TIMEOUT_MS = 1_000;
-const QUERY_PAUSE_MS = 200;
+const QUERY_INTERVAL_MS = 200;
 
-/** Tries to ask a sidecar that does not answer. */
-const MAX_QUERIES = 3;
+/** Failed queries after which a sidecar counts as unreachable. */
+const MAX_FAILED_QUERIES = 3;
 
-/** Outcome queries to the sidecars that claims are bound to. */
+/** Queries the sidecar that a claim is bound to until the outcome of the call is known. */
 export class OutcomeQuery {
   constructor(
     private readonly _roster: Roster,
@@ -27,24 +27,27 @@
     private readonly _services: IFlowServices,
   ) {}
 
-  /** Asks the bound sidecar until it knows the outcome, does not answer, or time is up. */
+  /**
+   * Repeats the query until the outcome is known, `MAX_FAILED_QUERIES` failed, or the request's deadline has
+   * passed. When the request was ended early, a running call is not waited for.
+   */
   public async query(context: IRequestContext, attempt: IClaimAttempt): Promise<ClaimOutcome> {
     const { clock } = this._services;
     let failures = 0;
-    while (failures < MAX_QUERIES && clock.now() < context.open.deadlineAt) {
+    while (failures < MAX_FAILED_QUERIES && clock.now() < context.open.deadlineAt) {
       const outcome = await this._queryOnce(attempt);
       if (outcome.kind === 'unreachable') {
         failures += 1;
       } else if (outcome.kind !== 'running' || context.open.signal.aborted) {
         return outcome;
       }
-      await sleep(addJitter(QUERY_PAUSE_MS), context.open.signal);
+      await sleep(addJitter(QUERY_INTERVAL_MS), context.open.signal);
     }
-    return failures < MAX_QUERIES ? { kind: 'running' } : { kind: 'unreachable' };
+    return failures < MAX_FAILED_QUERIES ? { kind: 'running' } : { kind: 'unreachable' };
   }
 
   private async _queryOnce(attempt: IClaimAttempt): Promise<ClaimOutcome> {
-    if (this._isSidecarGone(attempt)) {
+    if (this._isSidecarReplaced(attempt)) {
       return { kind: 'lost' };
     }
     try {
@@ -64,8 +67,8 @@
     }
   }
 
-  /** True when another life of the sidecar has announced the target. */
-  private _isSidecarGone(attempt: IClaimAttempt): boolean {
+  /** True if another incarnation of the sidecar has announced the target. */
+  private _isSidecarReplaced(attempt: IClaimAttempt): boolean {
     TEST_ONLY: if (isBroken('sidecar-incarnation')) return false;
     const target = this._roster.getTarget(attempt.binding.target, this._services.clock.now());
     return (
--- a/src/entry/Parse.test.ts
+++ b/src/entry/Parse.test.ts
@@ -3,7 +3,7 @@
 import { parseModelRequest } from './Parse.js';
 
 describe('parseModelRequest', () => {
-  it('answers any bytes with a typed failure or a request, and never throws', () => {
+  it('returns a typed failure or a request for any bytes and never throws', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 300 }), (bytes) => {
         const parsed = parseModelRequest(Buffer.from(bytes));
@@ -13,7 +13,7 @@
     );
   });
 
-  it('answers any JSON with a typed failure or a request, and never throws', () => {
+  it('returns a typed failure or a request for any JSON and never throws', () => {
     const field = fc.constantFrom('model', 'messages', 'prompt', 'stream', 'max_tokens', 'x');
     fc.assert(
       fc.property(fc.dictionary(field, fc.jsonValue()), (body) => {
@@ -27,10 +27,10 @@
   it.each([
     ['no model', { prompt: 'x' }],
     ['a negative limit', { model: 'm', prompt: 'x', max_tokens: -1 }],
-    ['a limit that is no number', { model: 'm', prompt: 'x', max_tokens: 'many' }],
+    ['a limit that is not a number', { model: 'm', prompt: 'x', max_tokens: 'many' }],
     ['messages without content', { model: 'm', messages: [{ role: 'user' }] }],
     ['an empty list of messages', { model: 'm', messages: [] }],
-  ])('refuses %s before anything is charged', (_name, body) => {
+  ])('refuses %s with bad_request', (_name, body) => {
     const parsed = parseModelRequest(Buffer.from(JSON.stringify(body)));
     expect(parsed.err && parsed.val.code).toBe('bad_request');
   });
--- a/src/entry/Parse.ts
+++ b/src/entry/Parse.ts
@@ -1,28 +1,31 @@
-/** First stage: reads and checks what the caller sent. */
+/** First stage of the request pipeline: reads and validates the body. */
 import type { IncomingMessage } from 'node:http';
 import { Err, Ok, type Result } from '../common/Result.js';
 import { estimateTokens } from '../policy/PrefixChain.js';
-import { refuse, type IHttpFailure } from './Failures.js';
+import { createRefusal, type IHttpFailure } from './Failures.js';
 
-/** Largest body of a request. */
+/** Maximum size of a request's body. */
 export const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
 const MAX_OUTPUT_TOKENS = 1_000_000;
 
-/** A completion request after its body was checked. */
+/** A validated completion request. */
 export interface IModelRequest {
   readonly model: string;
   readonly isStream: boolean;
-  /** Output limit that the caller set. */
+  /** Output limit in tokens; undefined if the caller set none. */
   readonly maxTokens: number | undefined;
-  /** Text that decides which cached chunks match. */
+  /** Text whose prefixes are matched with cached prompt chunks. */
   readonly prompt: string;
   readonly promptTokens: number;
-  /** The parsed body, to which the entry adds its own fields. */
+  /** The parsed body; the entry adds fields to it before it is forwarded. */
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Reads the body up to the limit. A body that is too slow is refused while its connection is open. */
+/**
+ * Reads the body. Refuses one that is larger than `MAX_BODY_BYTES` or not complete within `timeoutMs`; the
+ * connection then stays open for the error response.
+ */
 export async function readBody(
   request: IncomingMessage,
   timeoutMs: number,
@@ -44,26 +47,29 @@
 }
 
 function describeTooSlow(): IHttpFailure {
-  return refuse('request_timeout', 'The body did not arrive completely in time; send it again.');
+  return createRefusal(
+    'request_timeout',
+    'The body did not arrive completely in time; send it again.',
+  );
 }
 
 async function collectBody(request: IncomingMessage): Promise<Result<Buffer, IHttpFailure>> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let size = 0;
-  // The connection has to stay open for the refusal.
-  for await (const part of request.iterator({ destroyOnReturn: false })) {
-    const bytes = part as Buffer;
+  // Leaving the loop must not destroy the connection, which has to carry the error response.
+  for await (const chunk of request.iterator({ destroyOnReturn: false })) {
+    const bytes = chunk as Buffer;
     size += bytes.length;
     if (size > MAX_BODY_BYTES) {
       return Err(describeTooLarge());
     }
-    parts.push(bytes);
+    chunks.push(bytes);
   }
-  return Ok(Buffer.concat(parts));
+  return Ok(Buffer.concat(chunks));
 }
 
 function describeTooLarge(): IHttpFailure {
-  return refuse('body_too_large', `Send at most ${MAX_BODY_BYTES} bytes in one request.`);
+  return createRefusal('body_too_large', `Send at most ${MAX_BODY_BYTES} bytes in one request.`);
 }
 
 /**
@@ -75,27 +81,33 @@
 export function parseModelRequest(body: Buffer): Result<IModelRequest, IHttpFailure> {
   const fields = parseJsonObject(body);
   if (fields === undefined) {
-    return Err(refuse('bad_json', 'Send a JSON object as the body.'));
+    return Err(createRefusal('bad_json', 'Send a JSON object as the body.'));
   }
   const { model, stream, max_tokens, max_completion_tokens } = fields;
   if (typeof model !== 'string' || model === '') {
     return Err(
-      refuse('bad_request', 'Set "model" to the name of a model; GET /v1/models lists them.'),
+      createRefusal(
+        'bad_request',
+        'Set "model" to the name of a model; GET /v1/models lists them.',
+      ),
     );
   }
   if (stream !== undefined && typeof stream !== 'boolean') {
-    return Err(refuse('bad_request', 'Set "stream" to true or false.'));
+    return Err(createRefusal('bad_request', 'Set "stream" to true or false.'));
   }
   const maxTokens = max_completion_tokens ?? max_tokens;
   if (maxTokens !== undefined && !isTokenCount(maxTokens)) {
     return Err(
-      refuse('bad_request', `Set "max_tokens" to a whole number from 1 to ${MAX_OUTPUT_TOKENS}.`),
+      createRefusal(
+        'bad_request',
+        `Set "max_tokens" to a whole number from 1 to ${MAX_OUTPUT_TOKENS}.`,
+      ),
     );
   }
   const prompt = joinPrompt(fields);
   if (prompt === undefined) {
     return Err(
-      refuse(
+      createRefusal(
         'bad_request',
         'Send "messages" (objects with role and text content) or a "prompt" text.',
       ),
@@ -127,7 +139,7 @@
   );
 }
 
-/** The prompt as one text, in the form in which engines hash it. */
+/** Joins the prompt or the messages to one text, in the form in which engines hash it. */
 function joinPrompt(fields: Record<string, unknown>): string | undefined {
   if (typeof fields.prompt === 'string') {
     return fields.prompt;
@@ -144,11 +156,11 @@
     return undefined;
   }
   const { role, content } = message as { role?: unknown; content?: unknown };
-  const text = Array.isArray(content) ? content.map(formatPart).join('') : content;
+  const text = Array.isArray(content) ? content.map(formatContentPart).join('') : content;
   return typeof role === 'string' && typeof text === 'string' ? `${role}:${text}\n` : undefined;
 }
 
-function formatPart(part: unknown): string {
+function formatContentPart(part: unknown): string {
   const text = (part as { text?: unknown } | null)?.text;
   return typeof text === 'string' ? text : '';
 }
--- a/src/entry/PlainFlow.ts
+++ b/src/entry/PlainFlow.ts
@@ -1,27 +1,32 @@
-/** Repeatable calls of plain services and of routes that are open to all. */
+/** Flow of repeatable calls of plain services, on routes with and without a key. */
 import { AnswerTooLargeError, readAnswer } from '../common/HttpAnswer.js';
 import type { IDisposable } from '../common/Lifecycle.js';
 import { Err, type Result } from '../common/Result.js';
 import { estimateTokens } from '../policy/PrefixChain.js';
 import type { Chooser, IChooseInput } from './Chooser.js';
-import type { Dispatcher, IDispatched } from './Dispatcher.js';
-import { fail, sendFailure, type IHttpFailure } from './Failures.js';
+import type { Dispatcher, IAnsweredDispatch } from './Dispatcher.js';
+import { createFailure, sendFailure, type IHttpFailure } from './Failures.js';
 import { pickAnswerHeaders, pickRequestHeaders } from './ForwardHeaders.js';
 import type { OpenRequests } from './OpenRequests.js';
-import { describeEnd, describeNotRun, recordPlainEnd, recordRefusal } from './Outcomes.js';
+import {
+  describeEndReason,
+  describeNotRun,
+  recordPlainEnd,
+  recordRefusal,
+} from './RequestOutcomes.js';
 import type { QueueStage } from './QueueStage.js';
 import type { IAdmitter, IFlowServices, IRequestContext } from './Types.js';
-import { sendAnswer } from './WholeAnswer.js';
+import { sendAnswer } from './BufferedAnswer.js';
 
-/** Fresh starts after an answer broke off. */
-const MAX_STARTS = 2;
+/** Rounds of dispatch for one call, the first one included; repeated after an incomplete answer. */
+const MAX_DISPATCH_ROUNDS = 2;
 
-/** Tokens that a plain call is charged by its body: at least one. */
+/** Number of tokens that a plain call is charged, estimated from its body; at least one. */
 export function countPlainTokens(body: Buffer): number {
   return Math.max(1, estimateTokens(body.length));
 }
 
-/** What the choice of a plain target depends on. */
+/** Builds the input for the choice of a plain target. */
 export function buildPlainInput(context: IRequestContext, body: Buffer): IChooseInput {
   return {
     requestId: context.requestId,
@@ -35,8 +40,11 @@
   };
 }
 
-/** Charges a plain call and waits for its place; a call without a place is not charged. */
-export async function enterPlain(
+/**
+ * Charges a plain call to its client account and waits for a dispatch slot. The slot has to be disposed of.
+ * A call that gets no slot is refunded.
+ */
+export async function admitPlainCall(
   admitter: IAdmitter,
   queue: QueueStage,
   context: IRequestContext,
@@ -51,12 +59,12 @@
   if (admitted.err) {
     return Err(describeNotRun(context, admitted.val));
   }
-  const place = await queue.enter(context, tokens);
-  admitted.val.settle(place.ok ? tokens : 0);
-  return place;
+  const slot = await queue.enter(context, tokens);
+  admitted.val.settle(slot.ok ? tokens : 0);
+  return slot;
 }
 
-/** Serves calls that may be repeated. */
+/** Serves repeatable calls of plain services: admits, dispatches and relays them, with retries. */
 export class PlainFlow {
   constructor(
     private readonly _admitter: IAdmitter,
@@ -68,41 +76,44 @@
   ) {}
 
   public async run(context: IRequestContext, body: Buffer): Promise<void> {
-    const place = await enterPlain(this._admitter, this._queue, context, body);
-    if (place.err) {
-      this._refuse(context, place.val);
+    const slot = await admitPlainCall(this._admitter, this._queue, context, body);
+    if (slot.err) {
+      this._refuse(context, slot.val);
       return;
     }
     try {
       await this._serve(context, body);
     } finally {
-      place.val.dispose();
+      slot.val.dispose();
     }
   }
 
   private async _serve(context: IRequestContext, body: Buffer): Promise<void> {
-    const tried = new Set<string>();
-    for (let start = 1; start <= MAX_STARTS; start++) {
+    const triedTargets = new Set<string>();
+    for (let round = 1; round <= MAX_DISPATCH_ROUNDS; round++) {
       const dispatched = await this._dispatcher.run(
         context,
         buildPlainInput(context, body),
-        () => buildOutgoing(context, body),
-        tried,
+        () => buildOutgoingRequest(context, body),
+        triedTargets,
       );
       if (dispatched.err) {
-        this._refuse(context, describeEnd(context) ?? dispatched.val);
+        this._refuse(context, describeEndReason(context) ?? dispatched.val);
         return;
       }
       if (await this._relay(context, dispatched.val)) {
         return;
       }
-      tried.add(dispatched.val.choice.view.id);
+      triedTargets.add(dispatched.val.choice.view.id);
     }
-    this._refuse(context, fail('target_failed', 'The targets broke off; try again.', 'unknown'));
+    this._refuse(
+      context,
+      createFailure('target_failed', 'The targets broke off; try again.', 'unknown'),
+    );
   }
 
-  /** False when the answer broke off and the call may be repeated. */
-  private async _relay(context: IRequestContext, dispatched: IDispatched): Promise<boolean> {
+  /** Relays the answer. False if it was incomplete and the call may be dispatched again. */
+  private async _relay(context: IRequestContext, dispatched: IAnsweredDispatch): Promise<boolean> {
     const { response: answer } = dispatched.outcome;
     const { clock } = this._services;
     let body: Buffer;
@@ -111,7 +122,7 @@
     } catch (error) {
       answer.body.destroy();
       this._chooser.recordFailure(dispatched.choice, clock.now());
-      return this._handleBreak(context, error);
+      return this._handleReadError(context, error);
     }
     this._chooser.recordAnswer(
       dispatched.choice,
@@ -120,7 +131,7 @@
     );
     this._openRequests.checkRequest(context.open, clock.now());
     await context.open.waitReleased();
-    const end = describeEnd(context);
+    const end = describeEndReason(context);
     if (end !== undefined) {
       this._refuse(context, end);
       return true;
@@ -134,16 +145,17 @@
     return true;
   }
 
-  private _handleBreak(context: IRequestContext, error: unknown): boolean {
+  /** Handles an answer that could not be read. False if the call may be dispatched again. */
+  private _handleReadError(context: IRequestContext, error: unknown): boolean {
     if (error instanceof AnswerTooLargeError) {
       const message = `The answer of the service is too large: ${error.message}.`;
-      this._refuse(context, fail('target_failed', message, 'yes'));
+      this._refuse(context, createFailure('target_failed', message, 'yes'));
       return true;
     }
     if (!context.open.signal.aborted) {
       return false;
     }
-    const failure = describeEnd(context);
+    const failure = describeEndReason(context);
     if (failure !== undefined) {
       this._refuse(context, failure);
     }
@@ -156,8 +168,8 @@
   }
 }
 
-/** Headers and body for the target. */
-export function buildOutgoing(
+/** Builds the headers and body for the target. */
+export function buildOutgoingRequest(
   context: IRequestContext,
   body: Buffer,
 ): { headers: Record<string, string>; body: Buffer | undefined } {
--- a/src/entry/Outcomes.ts
+++ b/src/entry/RequestOutcomes.ts
@@ -1,27 +1,37 @@
-/** Log lines, metrics and failures that all flows share. */
-import { fail, type IHttpFailure } from './Failures.js';
+/** Records of request outcomes in log and metrics, and failures, that the flows share. */
+import { createFailure, type IHttpFailure } from './Failures.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Failure of a request whose key was withdrawn or whose time is up. */
-export function describeEnd(context: IRequestContext): IHttpFailure | undefined {
+/**
+ * Failure of a request that was ended early because its key was withdrawn or its deadline passed.
+ * Undefined if it was not ended, or if the caller disconnected and nobody is left to answer.
+ */
+export function describeEndReason(context: IRequestContext): IHttpFailure | undefined {
   switch (context.open.endReason) {
     case 'key_withdrawn':
-      return fail('key_withdrawn', 'The key was withdrawn; ask for a new one.', 'unknown');
+      return createFailure('key_withdrawn', 'The key was withdrawn; ask for a new one.', 'unknown');
     case 'deadline_exceeded':
-      return fail('deadline_exceeded', 'The time limit of the service has passed.', 'unknown');
+      return createFailure(
+        'deadline_exceeded',
+        'The time limit of the service has passed.',
+        'unknown',
+      );
     case 'client_gone':
     case undefined:
       return undefined;
   }
 }
 
-/** Failure of a request that ended before it was dispatched; names the cause of the end, if it has one. */
+/**
+ * Failure of a request that ended before it was dispatched: the reason of its early end if there is one,
+ * otherwise the given failure.
+ */
 export function describeNotRun(context: IRequestContext, failure: IHttpFailure): IHttpFailure {
-  const end = describeEnd(context);
+  const end = describeEndReason(context);
   return end === undefined ? failure : { ...end, ran: 'no' };
 }
 
-/** Log line and counter of a refused request. */
+/** Logs and counts a refused request. */
 export function recordRefusal(
   services: IFlowServices,
   context: IRequestContext,
@@ -36,7 +46,7 @@
   });
 }
 
-/** Log line and metrics of an answered plain call. */
+/** Logs an answered plain call and records its metrics. */
 export function recordPlainEnd(
   services: IFlowServices,
   context: IRequestContext,
--- a/src/entry/SseScanner.test.ts
+++ b/src/entry/SseScanner.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('SseScanner', () => {
-  it('passes every byte on once, wherever the chunks are cut', () => {
+  it('returns every byte once, wherever the chunks are split', () => {
     const stream = buildStream(5);
     fc.assert(
       fc.property(fc.array(fc.nat(stream.length), { maxLength: 12 }), (cuts) => {
@@ -23,7 +23,7 @@
         expect(Buffer.concat(parts).equals(stream)).toBe(true);
         expect(scanner.isDone).toBe(true);
         expect(scanner.usage?.outputTokens).toBe(3);
-        expect(scanner.events).toBe(7);
+        expect(scanner.eventCount).toBe(7);
       }),
       { seed: 1, numRuns: 200 },
     );
@@ -31,21 +31,21 @@
 
   it.each([
     ['a lost event', 'id: 1\ndata: a\n\nid: 3\ndata: c\n\n'],
-    ['a doubled event', 'id: 1\ndata: a\n\nid: 1\ndata: a\n\n'],
-  ])('notices %s', (_name, stream) => {
+    ['a duplicated event', 'id: 1\ndata: a\n\nid: 1\ndata: a\n\n'],
+  ])('rejects %s', (_name, stream) => {
     expect(() => new SseScanner().push(Buffer.from(stream))).toThrow(StreamOrderError);
   });
 
-  it('does not pass on part of an event, so that a resumed stream repeats nothing', () => {
+  it('does not return an incomplete event, so that a resumed stream repeats nothing', () => {
     const scanner = new SseScanner();
     const first = scanner.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
     expect(first.toString()).toBe('id: 1\ndata: a\n\n');
-    scanner.dropRest();
-    expect(scanner.lastId).toBe(1);
+    scanner.dropIncompleteEvent();
+    expect(scanner.lastEventId).toBe(1);
     expect(scanner.push(Buffer.from('id: 2\ndata: b\n\n')).toString()).toContain('b');
   });
 
-  it('does not take a stream without its final event for complete', () => {
+  it('does not report a stream without its final event as done', () => {
     const scanner = new SseScanner();
     scanner.push(Buffer.from('id: 1\ndata: a\n\n'));
     expect(scanner.isDone).toBe(false);
--- a/src/entry/SseScanner.ts
+++ b/src/entry/SseScanner.ts
@@ -6,47 +6,48 @@
 const USAGE_FIELD = Buffer.from('"usage":{');
 const NEWLINE = 10;
 
-/** An event larger than this is taken for a broken stream. */
+/** A stream with a larger event is treated as broken. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 
-/** Token counts of the final event. */
+/** Token counts of a completion. */
 export interface IUsage {
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly cachedPromptTokens: number;
 }
 
-/** Raised when the events are not the next ones of this stream. */
+/** Thrown when the bytes are not a valid continuation of the stream, such as an event out of order. */
 export class StreamOrderError extends Error {}
 
 /**
- * Passes whole events on. Bytes of an incomplete event are kept until it is complete, so that a broken
- * stream can be resumed after the last event that the caller got.
+ * Splits the bytes of a stream into complete events and checks that their ids are consecutive. Bytes of an
+ * incomplete event are buffered until it is complete, so that a broken stream can be resumed after the last
+ * event that the caller got.
  *
  * @example
  * const events = scanner.push(chunk);
  * if (events.length > 0) response.write(events);
  */
 export class SseScanner {
-  private _rest: Buffer = Buffer.alloc(0);
-  private _lastId = 0;
-  private _events = 0;
+  private _incompleteEvent: Buffer = Buffer.alloc(0);
+  private _lastEventId = 0;
+  private _eventCount = 0;
   private _isDone = false;
   private _usage: IUsage | undefined;
 
   /** Id of the last complete event; zero before the first one. */
-  public get lastId(): number {
-    return this._lastId;
+  public get lastEventId(): number {
+    return this._lastEventId;
   }
 
-  /** True when each event so far had an id, so that the stream can be resumed without a gap. */
+  /** True if each event so far had an id, so that the stream can be resumed without a gap. */
   public get hasIds(): boolean {
-    return this._lastId === this._events;
+    return this._lastEventId === this._eventCount;
   }
 
-  /** Complete events seen. */
-  public get events(): number {
-    return this._events;
+  /** Number of complete events so far. */
+  public get eventCount(): number {
+    return this._eventCount;
   }
 
   /** True after the final `[DONE]` event. */
@@ -54,37 +55,39 @@
     return this._isDone;
   }
 
+  /** Token counts; undefined until the event that holds them has arrived. */
   public get usage(): IUsage | undefined {
     return this._usage;
   }
 
-  /** Adds bytes and returns the events that are now complete. */
+  /** Adds bytes and returns those of the events that are now complete; throws `StreamOrderError`. */
   public push(chunk: Buffer): Buffer {
-    const bytes = this._rest.length === 0 ? chunk : Buffer.concat([this._rest, chunk]);
+    const bytes =
+      this._incompleteEvent.length === 0 ? chunk : Buffer.concat([this._incompleteEvent, chunk]);
     const lastEnd = bytes.lastIndexOf(EVENT_END);
     if (lastEnd < 0) {
       if (bytes.length > MAX_EVENT_BYTES) {
-        throw new StreamOrderError('an event is too large');
+        throw new StreamOrderError('an event exceeds the maximum size');
       }
-      this._rest = bytes;
+      this._incompleteEvent = bytes;
       return Buffer.alloc(0);
     }
     const end = lastEnd + EVENT_END.length;
     const complete = bytes.subarray(0, end);
-    // The rest is copied because it would keep the whole chunk in memory.
-    this._rest = Buffer.from(bytes.subarray(end));
+    // Copied, because a view would keep the whole chunk in memory.
+    this._incompleteEvent = Buffer.from(bytes.subarray(end));
     this._checkEvents(complete);
     return complete;
   }
 
-  /** Drops the bytes of an incomplete event before the stream is resumed. */
-  public dropRest(): void {
-    this._rest = Buffer.alloc(0);
+  /** Drops the bytes of an incomplete event; call it before the stream is resumed. */
+  public dropIncompleteEvent(): void {
+    this._incompleteEvent = Buffer.alloc(0);
   }
 
   private _checkEvents(events: Buffer): void {
     if (this._isDone) {
-      throw new StreamOrderError('events after the end of the stream');
+      throw new StreamOrderError('the stream has events after its final event');
     }
     let start = 0;
     while (start < events.length) {
@@ -102,20 +105,20 @@
   }
 
   private _checkEvent(events: Buffer, start: number, end: number): void {
-    this._events += 1;
+    this._eventCount += 1;
     if (events.compare(ID_FIELD, 0, ID_FIELD.length, start, start + ID_FIELD.length) !== 0) {
       return;
     }
-    const id = parseNumber(events, start + ID_FIELD.length, end);
-    if (id !== this._lastId + 1) {
-      throw new StreamOrderError(`event ${id} follows event ${this._lastId}`);
+    const id = parseDecimal(events, start + ID_FIELD.length, end);
+    if (id !== this._lastEventId + 1) {
+      throw new StreamOrderError(`event ${id} follows event ${this._lastEventId}`);
     }
-    this._lastId = id;
+    this._lastEventId = id;
   }
 }
 
-/** Reads decimal digits without making a string for each event. */
-function parseNumber(bytes: Buffer, start: number, end: number): number {
+/** Parses a decimal number up to the end of the line, without creating a string for each event. */
+function parseDecimal(bytes: Buffer, start: number, end: number): number {
   let value = 0;
   for (let index = start; index < end && bytes[index] !== NEWLINE; index++) {
     value = value * 10 + ((bytes[index] ?? 0) - 48);
@@ -141,7 +144,7 @@
   };
 }
 
-/** Reads the token counts of a completion or of a final stream event. */
+/** Reads the token counts of a completion or of a stream event; undefined if it has none. */
 export function readUsage(answer: unknown): IUsage | undefined {
   const usage = (answer as IUsageFields | null)?.usage;
   if (typeof usage?.prompt_tokens !== 'number' || typeof usage.completion_tokens !== 'number') {
--- a/src/entry/StreamRelay.test.ts
+++ b/src/entry/StreamRelay.test.ts
@@ -2,12 +2,12 @@
 import type { ServerResponse } from 'node:http';
 import { describe, expect, it } from 'vitest';
 import { AnswerBody } from '../common/HttpAnswer.js';
-import type { IDispatched } from './Dispatcher.js';
+import type { IAnsweredDispatch } from './Dispatcher.js';
 import { OpenRequest, type OpenRequests } from './OpenRequests.js';
 import { StreamRelay } from './StreamRelay.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Response that records what the caller gets. */
+/** Fake response that records what is written to the caller. */
 class RecordingResponse extends EventEmitter {
   public readonly written: string[] = [];
   public isFull = false;
@@ -59,7 +59,7 @@
     () => undefined,
   );
   const outcome = { kind: 'answered', response: { body }, streamId: undefined };
-  const end = relay.relay({ outcome } as unknown as IDispatched);
+  const end = relay.relay({ outcome } as unknown as IAnsweredDispatch);
   return { response, open, body, isPaused: () => isPaused, end };
 }
 
@@ -67,7 +67,7 @@
 const DONE = Buffer.from('id: 2\ndata: [DONE]\n\n');
 
 describe('StreamRelay', () => {
-  it('writes nothing while the answer is held back, and all of it afterwards', async () => {
+  it('writes nothing while the answer is held back, and everything after the release', async () => {
     const { response, open, body, isPaused, end } = startRelay((request) => {
       request.hold();
     });
@@ -83,7 +83,7 @@
     expect(response.written).toEqual(['head', FIRST.toString(), DONE.toString(), 'end']);
   });
 
-  it('ends a broken stream after the events held back, so that none is written after the end', async () => {
+  it('ends a broken stream only after the events that were held back are written', async () => {
     const { response, open, body, end } = startRelay((request) => {
       request.hold();
     });
@@ -96,7 +96,7 @@
     expect(response.written).toEqual(['head', FIRST.toString(), 'error']);
   });
 
-  it('writes no held event after the key is withdrawn', async () => {
+  it('writes no event that was held back after the key was withdrawn', async () => {
     const { response, open, body, end } = startRelay((request) => {
       request.hold();
     });
@@ -107,7 +107,7 @@
     expect(response.written).toEqual(['head', 'error']);
   });
 
-  it('stops reading while the caller is slow, so that memory stays bounded', async () => {
+  it('stops reading while the caller reads slowly, so that memory stays bounded', async () => {
     const { response, body, isPaused, end } = startRelay();
     response.isFull = true;
     body.push(FIRST);
--- a/src/entry/StreamRelay.ts
+++ b/src/entry/StreamRelay.ts
@@ -1,34 +1,39 @@
-/** Seventh stage for streams: passes events on in order and resumes a broken stream. */
+/** Last stage of the request pipeline for streams: relays the events and resumes a broken stream. */
 import type { ServerResponse } from 'node:http';
 import type { AnswerBody } from '../common/HttpAnswer.js';
 import { addJitter, sleep } from '../common/Tasks.js';
 import { isBroken } from '../common/TestSwitches.js';
 import { RefusalReason } from '../gen/redwingwharf/v1/control_pb.js';
 import type { DispatchClient, DispatchOutcome } from './DispatchClient.js';
-import type { IDispatched } from './Dispatcher.js';
-import { fail, formatFailure, type IHttpFailure } from './Failures.js';
+import type { IAnsweredDispatch } from './Dispatcher.js';
+import { createFailure, formatFailure, type IHttpFailure } from './Failures.js';
 import type { OpenRequests } from './OpenRequests.js';
 import { SseScanner, StreamOrderError, type IUsage } from './SseScanner.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
-/** Tries to resume one break of a stream. */
-const MAX_RESUMES = 5;
-const RESUME_PAUSE_MS = 100;
+/** Attempts to resume a stream after one break. */
+const MAX_RESUME_ATTEMPTS = 5;
+/** The backoff before each attempt to resume grows by this step. */
+const RESUME_BACKOFF_STEP_MS = 100;
 
-/** How the relay of a stream ended. */
-export type RelayEnd =
+/** Result of relaying a stream. */
+export type RelayResult =
   | { readonly kind: 'complete'; readonly usage: IUsage | undefined }
-  /** Nothing reached the caller, so another target may be tried. */
+  /** The stream broke before anything reached the caller, so another target may be tried. */
   | { readonly kind: 'nothing_relayed' }
-  | { readonly kind: 'ended'; readonly events: number };
+  /** The stream ended early; `eventCount` complete events had arrived. */
+  | { readonly kind: 'ended'; readonly eventCount: number };
 
-type ForwardEnd = 'done' | 'broken' | 'misordered' | 'aborted';
+type ForwardResult = 'done' | 'broken' | 'misordered' | 'aborted';
 
-/** Relays one stream to its caller. */
+/**
+ * Relays one stream to its caller, in order and with back-pressure. Holds events back while the key cannot
+ * be confirmed, and resumes a broken stream at the same sidecar after the last complete event.
+ */
 export class StreamRelay {
   private readonly _scanner = new SseScanner();
   private _firstEventAt: number | undefined;
-  private _heldWrite: Promise<void> | undefined;
+  private _pendingWrite: Promise<void> | undefined;
 
   constructor(
     private readonly _context: IRequestContext,
@@ -38,12 +43,12 @@
     private readonly _onFirstEvent: () => void,
   ) {}
 
-  /** Time of the first event by this process's clock. */
+  /** Time of the first relayed event by the entry's clock; undefined before it. */
   public get firstEventAt(): number | undefined {
     return this._firstEventAt;
   }
 
-  public async relay(dispatched: IDispatched): Promise<RelayEnd> {
+  public async relay(dispatched: IAnsweredDispatch): Promise<RelayResult> {
     let outcome: DispatchOutcome | undefined = dispatched.outcome;
     while (outcome?.kind === 'answered') {
       let end = await this._forwardEvents(outcome.response.body);
@@ -53,23 +58,25 @@
           this._context.response.end();
           return { kind: 'complete', usage: this._scanner.usage };
         case 'aborted':
-          return this._endWith(this._describeAbort());
+          return this._endEarly(this._describeAbort());
         case 'misordered':
-          return this._endWith(describeBreak('The events of the stream came out of order.'));
+          return this._endEarly(
+            describeBrokenStream('The events of the stream came out of order.'),
+          );
         case 'broken':
           outcome = await this._resume(dispatched, outcome.streamId);
       }
     }
     if (this._context.open.signal.aborted) {
-      return this._endWith(this._describeAbort());
+      return this._endEarly(this._describeAbort());
     }
     if (this._firstEventAt === undefined) {
       return { kind: 'nothing_relayed' };
     }
-    return this._endWith(describeBreak('The stream broke off and could not be resumed.'));
+    return this._endEarly(describeBrokenStream('The stream broke off and could not be resumed.'));
   }
 
-  private async _forwardEvents(body: AnswerBody): Promise<ForwardEnd> {
+  private async _forwardEvents(body: AnswerBody): Promise<ForwardResult> {
     try {
       await body.read((chunk) => {
         const events = this._scanner.push(chunk);
@@ -80,8 +87,8 @@
       return this._scanner.isDone ? 'done' : 'broken';
     } catch (error) {
       body.destroy();
-      // Events that are held back go out before anything that follows the break.
-      await this._heldWrite;
+      // Events that are held back have to be written before anything that follows the break.
+      await this._pendingWrite;
       if (this._context.open.signal.aborted) {
         return 'aborted';
       }
@@ -89,40 +96,40 @@
     }
   }
 
-  /** Writes at once unless the answer is held back; no promise is made for an event. */
+  /** Writes events synchronously, to avoid a promise for each one, unless the answer is held back. */
   private _forward(events: Buffer, body: AnswerBody): void {
     const { open } = this._context;
     this._openRequests.checkRequest(open, this._services.clock.now());
     if (open.isHeld) {
       body.pause();
-      this._heldWrite = this._forwardReleased(events, body);
+      this._pendingWrite = this._forwardWhenReleased(events, body);
     } else if (!this._write(events)) {
-      this._waitDrained(body);
+      this._pauseUntilDrained(body);
     }
   }
 
-  private async _forwardReleased(events: Buffer, body: AnswerBody): Promise<void> {
+  private async _forwardWhenReleased(events: Buffer, body: AnswerBody): Promise<void> {
     await this._context.open.waitReleased();
     try {
       if (this._write(events)) {
         body.resume();
       } else {
-        this._waitDrained(body);
+        this._pauseUntilDrained(body);
       }
     } catch (error) {
       body.destroy(error as Error);
     }
   }
 
-  /** Stops reading until the caller has taken what was written. */
-  private _waitDrained(body: AnswerBody): void {
+  /** Stops reading from the sidecar until the caller has read what was written. */
+  private _pauseUntilDrained(body: AnswerBody): void {
     body.pause();
     this._context.response.once('drain', () => {
       body.resume();
     });
   }
 
-  /** Returns false when the caller reads more slowly than the events arrive. */
+  /** Writes events; throws if the request has ended. False if the caller reads too slowly. */
   private _write(events: Buffer): boolean {
     const { response, open } = this._context;
     open.signal.throwIfAborted();
@@ -134,22 +141,25 @@
     return response.write(events);
   }
 
-  /** Asks the same generation for the events after the last complete one. */
+  /**
+   * Requests the events of the same generation after the last complete one. Undefined if the stream cannot
+   * be resumed.
+   */
   private async _resume(
-    dispatched: IDispatched,
+    dispatched: IAnsweredDispatch,
     streamId: string | undefined,
   ): Promise<DispatchOutcome | undefined> {
     const { open, requestId } = this._context;
-    this._scanner.dropRest();
+    this._scanner.dropIncompleteEvent();
     if (streamId === undefined || !this._scanner.hasIds) {
       return undefined;
     }
-    for (let attempt = 1; attempt <= MAX_RESUMES; attempt++) {
-      await sleep(addJitter(RESUME_PAUSE_MS * attempt), open.signal);
+    for (let attempt = 1; attempt <= MAX_RESUME_ATTEMPTS; attempt++) {
+      await sleep(addJitter(RESUME_BACKOFF_STEP_MS * attempt), open.signal);
       if (open.signal.aborted) {
         return undefined;
       }
-      const lastId = this._scanner.lastId;
+      const lastId = this._scanner.lastEventId;
       const outcome = await this._client.resume(dispatched.dispatch, streamId, lastId);
       this._services.decisions.record(requestId, 'resumed', {
         target: dispatched.choice.view.id,
@@ -171,7 +181,8 @@
     return undefined;
   }
 
-  private _endWith(failure: IHttpFailure | undefined): RelayEnd {
+  /** Ends the response with an error event; without a failure, it leaves the response as it is. */
+  private _endEarly(failure: IHttpFailure | undefined): RelayResult {
     const { response, requestId } = this._context;
     if (failure !== undefined && !response.destroyed) {
       if (this._firstEventAt === undefined) {
@@ -180,19 +191,23 @@
       response.end(`event: error\ndata: ${formatFailure(failure, requestId)}\n\n`);
       this._services.metrics.increment('streams_ended_early_total', { code: failure.code });
     }
-    return { kind: 'ended', events: this._scanner.events };
+    return { kind: 'ended', eventCount: this._scanner.eventCount };
   }
 
   private _describeAbort(): IHttpFailure | undefined {
     switch (this._context.open.endReason) {
       case 'key_withdrawn':
-        return fail(
+        return createFailure(
           'key_withdrawn',
           'The key was withdrawn; ask the operator for a new one.',
           'yes',
         );
       case 'deadline_exceeded':
-        return fail('deadline_exceeded', 'The time limit of the service has passed.', 'yes');
+        return createFailure(
+          'deadline_exceeded',
+          'The time limit of the service has passed.',
+          'yes',
+        );
       case 'client_gone':
       case undefined:
         return undefined;
@@ -208,6 +223,6 @@
   });
 }
 
-function describeBreak(message: string): IHttpFailure {
-  return fail('stream_broken', `${message} Send the request again.`, 'yes');
+function describeBrokenStream(message: string): IHttpFailure {
+  return createFailure('stream_broken', `${message} Send the request again.`, 'yes');
 }
--- a/src/entry/Types.ts
+++ b/src/entry/Types.ts
@@ -1,4 +1,4 @@
-/** Interfaces between the stages of the request pipeline. */
+/** Types that the stages of the request pipeline share. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { IClock } from '../common/Clock.js';
 import type { ILog } from '../common/Log.js';
@@ -12,9 +12,9 @@
 import type { IHttpFailure } from './Failures.js';
 import type { OpenRequest } from './OpenRequests.js';
 
-/** Tokens that were reserved for one request. */
+/** A reservation of tokens for one request. */
 export interface IAdmission {
-  /** Reports the tokens that were used; the rest is refunded. */
+  /** Reports how many tokens were used and refunds the others. */
   settle(usedTokens: number): void;
 }
 
@@ -27,7 +27,7 @@
   ): Promise<Result<IAdmission, IHttpFailure>>;
 }
 
-/** Runs commands on the control leader. */
+/** Executes commands at the control leader. */
 export interface IControl {
   execute(
     command: ICommandBody,
@@ -36,26 +36,27 @@
   ): Promise<Result<CommandResult, ControlFailure>>;
 }
 
-/** Brings the configuration up to date at once. */
+/** Synchronises the configuration at once instead of at the next interval. */
 export interface IFeedSync {
   syncOnce(signal: AbortSignal): Promise<void>;
 }
 
-/** One request on its way through the pipeline. */
+/** State of one request in the pipeline. */
 export interface IRequestContext {
   readonly requestId: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** Path and query without any key. */
+  /** Path and query without the caller's key. */
   readonly path: string;
   readonly service: Service;
   /** Absent on open routes. */
   readonly caller: ICaller | undefined;
   readonly open: OpenRequest;
+  /** Arrival of the request by the entry's clock. */
   readonly startedAt: number;
 }
 
-/** Services that all flows share. */
+/** Dependencies that all flows share. */
 export interface IFlowServices {
   readonly clock: IClock;
   readonly log: ILog;
