--- a/src/admission/AccountWallet.ts
+++ b/src/admission/AccountWallet.ts
@@ -1,4 +1,4 @@
-/** Tokens of one client account that this entry may spend. */
+/** Holds the tokens of one client account that this entry may spend. */
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import type { IDisposable } from '../common/Lifecycle.js';
 import { isBroken } from '../common/TestSwitches.js';
@@ -10,149 +10,169 @@
 import { DEMAND_WINDOW_MS, DemandWindow } from './DemandWindow.js';
 
 /**
- * Time from sending a request for a grant to the end of its use. The ledger counts the grant as spent
- * after 4 s, so the bound on admitted tokens holds even if this clock runs at half speed.
+ * Lease of a grant, counted from when its request was sent. The ledger counts a grant as spent after
+ * 4 s, so the bound on admitted tokens holds even if this process's clock runs at half speed.
  */
-export const LEASE_MS = 2_000;
+export const GRANT_LEASE_MS = 2_000;
 
-/** Average demand that is held in advance; exchanges are 200 ms apart. */
-export const HOLD_MS = 500;
+/** Tokens held in advance, as a duration of the average demand; exchanges are 200 ms apart. */
+export const BUFFERED_DEMAND_MS = 500;
 
-/** `Retry-After` when the ledger had the tokens but another request took them. */
-const DEFAULT_RETRY_MS = 200;
+/** Delay before a retry when the ledger granted the tokens but another request used them. */
+const DEFAULT_RETRY_AFTER_MS = 200;
 
-interface IHolding {
+/** Unspent part of a grant and its lease. */
+interface IHeldGrant {
   readonly id: bigint;
   readonly epoch: bigint;
   readonly leaseEndsAt: number;
   tokens: number;
-  /** Spent and not yet part of an exchange. */
-  unreported: number;
+  /** Tokens spent since the last exchange that reported spending. */
+  unreportedTokens: number;
 }
 
-interface IPart {
-  readonly holding: IHolding;
+/** Tokens that a charge took from one grant. */
+interface IGrantDebit {
+  readonly grant: IHeldGrant;
   readonly tokens: number;
 }
 
-/** Tokens taken for one request. */
-export interface ITaken {
-  readonly parts: readonly IPart[];
-  /** Newest epoch among the grants that paid. */
+/** Tokens charged for one request. */
+export interface ICharge {
+  readonly debits: readonly IGrantDebit[];
+  /** Newest epoch of the grants that were charged. */
   readonly epoch: bigint;
 }
 
 type RequestInit = MessageInitShape<typeof GrantRequestSchema>;
 
+/**
+ * Charges requests of one client account against its leased grants, and computes what to report, return
+ * and ask for in the next exchange with the ledger. Times are milliseconds of the monotonic clock.
+ */
 export class AccountWallet {
   /** In the order in which their leases end. */
-  private _holdings: IHolding[] = [];
+  private _grants: IHeldGrant[] = [];
   private readonly _demand = new DemandWindow();
   private readonly _waiters = new Set<{ readonly tokens: number }>();
-  private _retryAfterMs = DEFAULT_RETRY_MS;
-  /** Time at which the last answered exchange was sent. */
-  private _answeredAt = -Infinity;
+  private _retryAfterMs = DEFAULT_RETRY_AFTER_MS;
+  /** Send time of the last exchange that was answered. */
+  private _answeredExchangeSentAt = -Infinity;
 
   constructor(public readonly clientAccount: string) {}
 
   /**
-   * Time until tokens can be granted, or undefined while the ledger has not answered an exchange that was
-   * sent after `since`: what it told before does not count in a request that began to wait then.
+   * Returns the time until tokens can be granted, in milliseconds. Returns undefined until the ledger has
+   * answered an exchange sent at or after `waitingSince`: earlier answers did not consider a request that
+   * began to wait then.
    */
-  public getRetryAfterMs(since: number): number | undefined {
-    return this._answeredAt >= since ? this._retryAfterMs : undefined;
+  public getRetryAfterMs(waitingSince: number): number | undefined {
+    return this._answeredExchangeSentAt >= waitingSince ? this._retryAfterMs : undefined;
   }
 
-  /** Tokens that may be spent now. */
+  /** Tokens that may be spent now: those of grants whose lease has not ended. */
   public sumAvailable(now: number): number {
-    return this._holdings.reduce(
-      (sum, holding) => sum + (now < holding.leaseEndsAt ? holding.tokens : 0),
+    return this._grants.reduce(
+      (sum, grant) => sum + (now < grant.leaseEndsAt ? grant.tokens : 0),
       0,
     );
   }
 
   /** True when nothing is held, wanted or waiting. */
   public isIdle(now: number): boolean {
-    return this._holdings.length === 0 && this._sumWanted(now) === 0;
+    return this._grants.length === 0 && this._sumWanted(now) === 0;
   }
 
+  /** Adds the tokens of a waiting request to the demand until the result is disposed of. */
   public addWaiter(tokens: number): IDisposable {
     const waiter = { tokens };
     this._waiters.add(waiter);
     return { dispose: () => void this._waiters.delete(waiter) };
   }
 
-  /** Takes all the tokens or none, those whose lease ends first before others. */
-  public take(tokens: number, now: number): ITaken | undefined {
+  /**
+   * Charges all the tokens, first those whose lease ends first. Returns undefined and charges nothing
+   * when they are not available.
+   */
+  public charge(tokens: number, now: number): ICharge | undefined {
     if (this.sumAvailable(now) < tokens) {
       return undefined;
     }
-    const parts: IPart[] = [];
-    let missing = tokens;
+    const debits: IGrantDebit[] = [];
+    let remaining = tokens;
     let epoch = 0n;
-    for (const holding of this._holdings) {
-      const part = now < holding.leaseEndsAt ? Math.min(missing, holding.tokens) : 0;
-      if (part > 0) {
-        holding.tokens -= part;
-        holding.unreported += part;
-        missing -= part;
-        parts.push({ holding, tokens: part });
-        epoch = holding.epoch > epoch ? holding.epoch : epoch;
+    for (const grant of this._grants) {
+      const amount = now < grant.leaseEndsAt ? Math.min(remaining, grant.tokens) : 0;
+      if (amount > 0) {
+        grant.tokens -= amount;
+        grant.unreportedTokens += amount;
+        remaining -= amount;
+        debits.push({ grant, tokens: amount });
+        epoch = grant.epoch > epoch ? grant.epoch : epoch;
       }
     }
     this._demand.record(tokens, now);
-    return { parts, epoch };
+    return { debits, epoch };
   }
 
-  /** Gives back tokens whose spending was not reported yet. */
-  public giveBack(taken: ITaken, tokens: number): void {
-    let rest = tokens;
-    for (const { holding, tokens: spent } of [...taken.parts].reverse()) {
-      const part = Math.min(rest, spent);
-      holding.tokens += part;
-      holding.unreported -= part;
-      rest -= part;
+  /** Returns unused tokens of a charge to its grants; their spending must not have been reported yet. */
+  public reclaim(charge: ICharge, tokens: number): void {
+    let remaining = tokens;
+    for (const { grant: holding, tokens: charged } of [...charge.debits].reverse()) {
+      const amount = Math.min(remaining, charged);
+      holding.tokens += amount;
+      holding.unreportedTokens -= amount;
+      remaining -= amount;
     }
   }
 
-  /** Reports all spending, returns what is not wanted or can't be spent any more, and asks for more. */
+  /**
+   * Builds the account's part of the next exchange: reports all spending, returns tokens that are not
+   * wanted or whose lease has ended, and states the wanted tokens. Has to be sent, since the reported and
+   * returned tokens leave the wallet.
+   */
   public buildRequest(now: number): RequestInit {
     const wantedTokens = this._sumWanted(now);
     let excess = Math.max(0, this.sumAvailable(now) - wantedTokens);
     const reports: MessageInitShape<typeof GrantReportSchema>[] = [];
-    for (const holding of this._holdings) {
+    for (const holding of this._grants) {
       const isLeased = now < holding.leaseEndsAt;
       const returnedTokens = isLeased ? Math.min(excess, holding.tokens) : holding.tokens;
       excess -= isLeased ? returnedTokens : 0;
-      if (holding.unreported > 0 || returnedTokens > 0) {
-        reports.push({ grantId: holding.id, spentTokens: holding.unreported, returnedTokens });
+      if (holding.unreportedTokens > 0 || returnedTokens > 0) {
+        reports.push({
+          grantId: holding.id,
+          spentTokens: holding.unreportedTokens,
+          returnedTokens,
+        });
       }
       holding.tokens -= returnedTokens;
-      holding.unreported = 0;
+      holding.unreportedTokens = 0;
     }
-    this._holdings = this._holdings.filter((holding) => holding.tokens > 0);
-    const [first] = this._waiters;
-    const neededTokens = first?.tokens ?? 0;
+    this._grants = this._grants.filter((holding) => holding.tokens > 0);
+    const [firstWaiter] = this._waiters;
+    const neededTokens = firstWaiter?.tokens ?? 0;
     return { clientAccount: this.clientAccount, reports, wantedTokens, neededTokens };
   }
 
-  /** Takes the answer to an exchange that was first sent at `sentAt`. */
+  /** Adds the grant from the answer to an exchange that was first sent at `sentAt`. */
   public addGrant(grant: Grant, sentAt: number): void {
-    let leaseEndsAt = sentAt + LEASE_MS;
+    let leaseEndsAt = sentAt + GRANT_LEASE_MS;
     TEST_ONLY: if (isBroken('grant-lease')) leaseEndsAt = Infinity;
-    this._answeredAt = sentAt;
-    this._retryAfterMs = grant.retryAfterMs === 0 ? DEFAULT_RETRY_MS : grant.retryAfterMs;
+    this._answeredExchangeSentAt = sentAt;
+    this._retryAfterMs = grant.retryAfterMs === 0 ? DEFAULT_RETRY_AFTER_MS : grant.retryAfterMs;
     if (grant.tokens > 0) {
       const { grantId: id, epoch, tokens } = grant;
-      this._holdings.push({ id, epoch, leaseEndsAt, tokens, unreported: 0 });
+      this._grants.push({ id, epoch, leaseEndsAt, tokens, unreportedTokens: 0 });
     }
   }
 
+  /** Tokens of the waiting requests plus the buffer for the average demand. */
   private _sumWanted(now: number): number {
     let waiting = 0;
     for (const waiter of this._waiters) {
       waiting += waiter.tokens;
     }
-    return waiting + Math.ceil((this._demand.sum(now) * HOLD_MS) / DEMAND_WINDOW_MS);
+    return waiting + Math.ceil((this._demand.sum(now) * BUFFERED_DEMAND_MS) / DEMAND_WINDOW_MS);
   }
 }
--- a/src/admission/Admitter.test.ts
+++ b/src/admission/Admitter.test.ts
@@ -17,11 +17,17 @@
 
 type Execute = ControlClient['execute'];
 
-/** Leader that is away at first, then grants what is wanted or names a time to come back. */
-function createControl(awayMs: number, retryAfterMs: number): Pick<ControlClient, 'execute'> {
-  const backAt = performance.now() + awayMs;
+/**
+ * Creates a control leader that is unreachable at first. After that it grants the wanted tokens, or none
+ * when `retryAfterMs` is not zero.
+ */
+function createControl(
+  unavailableMs: number,
+  retryAfterMs: number,
+): Pick<ControlClient, 'execute'> {
+  const availableAt = performance.now() + unavailableMs;
   const execute: Execute = async (body, signal) => {
-    if (performance.now() < backAt) {
+    if (performance.now() < availableAt) {
       await sleep(100, signal);
       return Err({ kind: 'unreachable', message: 'no leader' });
     }
@@ -65,17 +71,17 @@
     return admitter;
   }
 
-  it('guards against refusing a request for its rate while the leader does not answer', async () => {
+  it('keeps requests waiting, not rate-limited, while the leader does not answer', async () => {
     const admitter = createAdmitter(createControl(1_200, 0));
     const first = admitter.admit('pag', 100, stop.signal);
     await sleep(400, stop.signal);
-    // Joins while the exchange that the ledger has not answered yet is on its way.
+    // Begins to wait while the exchange for the first request is still unanswered.
     const second = admitter.admit('pag', 100, stop.signal);
     expect((await first).ok).toBe(true);
     expect((await second).ok).toBe(true);
   });
 
-  it('guards against holding back a request that the ledger refuses', async () => {
+  it('refuses a request at once when its tokens would come after the longest wait', async () => {
     const admitter = createAdmitter(createControl(0, 5_000));
     const startedAt = performance.now();
     const admitted = await admitter.admit('pag', 100, stop.signal);
--- a/src/admission/Admitter.ts
+++ b/src/admission/Admitter.ts
@@ -1,4 +1,4 @@
-/** Admits requests by tokens that the control leader granted to this entry. */
+/** Admission control of an entry: admits requests by tokens that the control leader granted. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import type { Metrics } from '../common/Metrics.js';
@@ -8,24 +8,25 @@
 import { NEVER_MS } from '../state/AccountLedger.js';
 import type { GrantWallet, IReservation } from './GrantWallet.js';
 
-/** Interval of grant exchanges while accounts are in use. */
+/** Interval between grant exchanges for the accounts in use while no request waits. */
 const EXCHANGE_INTERVAL_MS = 200;
 
-/** Shortest time between exchanges while requests wait for tokens. */
+/** Shortest interval between grant exchanges, used while requests wait for tokens. */
 const MIN_EXCHANGE_INTERVAL_MS = 20;
 
-/** Limit of one exchange; the same command is sent again after it. */
+/** Time limit of one exchange, after which the same command is sent again. */
 const EXCHANGE_TIMEOUT_MS = 2_000;
 
-/** A request waits this long for tokens; beyond it the caller is told when to come back. */
+/** Longest wait for tokens; a request that would wait longer is refused with `Retry-After`. */
 const MAX_TOKEN_WAIT_MS = 500;
 
-/** Longest wait for an answer of the leader: a failover takes about 1.5 s. */
+/** Longest wait for an answer from the control leader; a failover takes about 1.5 s. */
 const MAX_CONTROL_WAIT_MS = 2_500;
 
-const RETRY_CONTROL_MS = 1_000;
+/** Delay before a retry of a request that the control leader did not answer in time. */
+const CONTROL_RETRY_AFTER_MS = 1_000;
 
-/** Why a request was not admitted. */
+/** Reason why a request was not admitted. */
 export type AdmitFailure =
   | (IFailure<'rate_limited'> & { readonly retryAfterMs: number })
   | IFailure<'too_costly'>
@@ -34,13 +35,13 @@
 
 interface IWaiter {
   readonly tokens: number;
-  readonly since: number;
-  readonly finish: (result: Result<IReservation, AdmitFailure>) => void;
+  readonly waitingSince: number;
+  readonly resolve: (result: Result<IReservation, AdmitFailure>) => void;
 }
 
 /**
- * Keeps the wallet in exchange with the leader and queues requests that lack tokens, first come first
- * served within a client account.
+ * Runs the grant exchanges between the wallet and the control leader, and queues requests that lack
+ * tokens, first in, first out within a client account.
  *
  * @example
  * const admitted = await admitter.admit('pag', 4_000, signal);
@@ -48,7 +49,8 @@
  */
 export class Admitter {
   private readonly _waiters = new Map<string, IWaiter[]>();
-  private _wake = new AbortController();
+  /** Aborted when a request begins to wait, to end the pause between exchanges. */
+  private _pauseInterrupt = new AbortController();
 
   constructor(
     private readonly _wallet: GrantWallet,
@@ -58,17 +60,17 @@
     private readonly _metrics: Metrics,
   ) {}
 
-  /** Exchanges grants until the signal is aborted. */
+  /** Exchanges grants until the signal is aborted, then fails the requests that still wait. */
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       await this._exchange(signal);
       this._serveWaiters();
       await this._pause(signal);
     }
-    this._finishAll();
+    this._failWaiters();
   }
 
-  /** Reserves tokens, waiting for a grant if need be. */
+  /** Reserves tokens, waiting for a grant if necessary. */
   public async admit(
     account: string,
     tokens: number,
@@ -84,7 +86,7 @@
     return this._wait(account, tokens, signal);
   }
 
-  /** Settles a reservation with the tokens that were used. */
+  /** Settles a reservation with the tokens that the request used. */
   public settle(reservation: IReservation, usedTokens: number): void {
     this._wallet.settle(reservation, usedTokens);
   }
@@ -94,24 +96,24 @@
     tokens: number,
     signal: AbortSignal,
   ): Promise<Result<IReservation, AdmitFailure>> {
-    const demand = this._wallet.addWaiter(account, tokens);
+    const walletWaiter = this._wallet.addWaiter(account, tokens);
     const queue = this._waiters.get(account) ?? [];
     this._waiters.set(account, queue);
-    let leave = (): void => undefined;
+    let onAbort = (): void => undefined;
     try {
-      return await new Promise((finish) => {
-        const waiter = { tokens, since: this._clock.now(), finish };
-        leave = () => {
+      return await new Promise((resolve) => {
+        const waiter = { tokens, waitingSince: this._clock.now(), resolve };
+        onAbort = () => {
           removeWaiter(queue, waiter);
-          finish(Err({ kind: 'aborted', message: 'the request ended while it waited' }));
+          resolve(Err({ kind: 'aborted', message: 'the request ended while it waited' }));
         };
-        signal.addEventListener('abort', leave, { once: true });
+        signal.addEventListener('abort', onAbort, { once: true });
         queue.push(waiter);
-        this._wake.abort();
+        this._pauseInterrupt.abort();
       });
     } finally {
-      signal.removeEventListener('abort', leave);
-      demand.dispose();
+      signal.removeEventListener('abort', onAbort);
+      walletWaiter.dispose();
     }
   }
 
@@ -137,8 +139,8 @@
   private async _pause(signal: AbortSignal): Promise<void> {
     const hasWaiters = [...this._waiters.values()].some((queue) => queue.length > 0);
     const intervalMs = hasWaiters ? MIN_EXCHANGE_INTERVAL_MS : EXCHANGE_INTERVAL_MS;
-    this._wake = new AbortController();
-    await sleep(addJitter(intervalMs), signal, this._wake.signal);
+    this._pauseInterrupt = new AbortController();
+    await sleep(addJitter(intervalMs), signal, this._pauseInterrupt.signal);
   }
 
   private _serveWaiters(): void {
@@ -150,31 +152,31 @@
     }
   }
 
-  /** Serves in order; a request that has to wait too long ends at once with the time to come back. */
+  /** Serves waiting requests in order; one that would wait too long is refused with `retryAfterMs`. */
   private _serveAccount(account: string, queue: IWaiter[]): void {
     const now = this._clock.now();
     for (const waiter of [...queue]) {
       const reservation = this._wallet.tryReserve(account, waiter.tokens, now);
       const result =
-        reservation === undefined ? this._describeWait(account, waiter, now) : Ok(reservation);
+        reservation === undefined ? this._checkWait(account, waiter, now) : Ok(reservation);
       if (result === undefined) {
         return;
       }
       removeWaiter(queue, waiter);
-      waiter.finish(result);
+      waiter.resolve(result);
     }
   }
 
-  /** A failure, or undefined while the request may go on waiting. */
-  private _describeWait(
+  /** Returns the failure that ends the wait, or undefined while the request may continue to wait. */
+  private _checkWait(
     account: string,
     waiter: IWaiter,
     now: number,
   ): Result<IReservation, AdmitFailure> | undefined {
-    const waitedMs = now - waiter.since;
-    const retryAfterMs = this._wallet.getRetryAfterMs(account, waiter.since);
+    const waitedMs = now - waiter.waitingSince;
+    const retryAfterMs = this._wallet.getRetryAfterMs(account, waiter.waitingSince);
     if (retryAfterMs === undefined) {
-      return waitedMs < MAX_CONTROL_WAIT_MS ? undefined : Err(describeUnavailable());
+      return waitedMs < MAX_CONTROL_WAIT_MS ? undefined : Err(createUnavailableFailure());
     }
     if (retryAfterMs >= NEVER_MS) {
       return Err({ kind: 'too_costly', message: 'the request exceeds the burst' });
@@ -185,26 +187,26 @@
       : undefined;
   }
 
-  private _finishAll(): void {
+  private _failWaiters(): void {
     for (const queue of this._waiters.values()) {
       for (const waiter of queue.splice(0)) {
-        waiter.finish(Err(describeUnavailable()));
+        waiter.resolve(Err(createUnavailableFailure()));
       }
     }
   }
 }
 
 function removeWaiter(queue: IWaiter[], waiter: IWaiter): void {
-  const place = queue.indexOf(waiter);
-  if (place >= 0) {
-    queue.splice(place, 1);
+  const index = queue.indexOf(waiter);
+  if (index >= 0) {
+    queue.splice(index, 1);
   }
 }
 
-function describeUnavailable(): AdmitFailure {
+function createUnavailableFailure(): AdmitFailure {
   return {
     kind: 'control_unavailable',
     message: 'the control leader did not answer',
-    retryAfterMs: RETRY_CONTROL_MS,
+    retryAfterMs: CONTROL_RETRY_AFTER_MS,
   };
 }
--- a/src/admission/DemandWindow.ts
+++ b/src/admission/DemandWindow.ts
@@ -1,33 +1,34 @@
-/** Demand of the last second. */
+/** Sliding window over the token demand of a client account. */
 
-/** Length of the window. */
 export const DEMAND_WINDOW_MS = 1_000;
 
-const SLOTS = 10;
-const SLOT_MS = DEMAND_WINDOW_MS / SLOTS;
+const SLOT_COUNT = 10;
+const SLOT_MS = DEMAND_WINDOW_MS / SLOT_COUNT;
 
-/** Sum of the tokens recorded within the last second, in slots of a tenth of a second. */
+/** Sums the tokens recorded within the last second, in slots of 100 ms. */
 export class DemandWindow {
-  private readonly _slots = new Float64Array(SLOTS);
-  private _newest = 0;
+  private readonly _slots = new Float64Array(SLOT_COUNT);
+  /** Number of the newest slot, counted from time zero; its array index is this modulo `SLOT_COUNT`. */
+  private _newestSlot = 0;
 
   public record(tokens: number, now: number): void {
-    this._moveTo(now);
-    const slot = this._newest % SLOTS;
+    this._advanceTo(now);
+    const slot = this._newestSlot % SLOT_COUNT;
     this._slots[slot] = (this._slots[slot] ?? 0) + tokens;
   }
 
   public sum(now: number): number {
-    this._moveTo(now);
+    this._advanceTo(now);
     return this._slots.reduce((total, tokens) => total + tokens, 0);
   }
 
-  private _moveTo(now: number): void {
-    const newest = Math.floor(now / SLOT_MS);
-    const first = Math.max(this._newest + 1, newest - SLOTS + 1);
-    for (let position = first; position <= newest; position += 1) {
-      this._slots[position % SLOTS] = 0;
+  /** Clears the slots that began since the last call. */
+  private _advanceTo(now: number): void {
+    const newestSlot = Math.floor(now / SLOT_MS);
+    const firstNewSlot = Math.max(this._newestSlot + 1, newestSlot - SLOT_COUNT + 1);
+    for (let slot = firstNewSlot; slot <= newestSlot; slot += 1) {
+      this._slots[slot % SLOT_COUNT] = 0;
     }
-    this._newest = Math.max(this._newest, newest);
+    this._newestSlot = Math.max(this._newestSlot, newestSlot);
   }
 }
--- a/src/admission/DispatchQueue.test.ts
+++ b/src/admission/DispatchQueue.test.ts
@@ -16,13 +16,13 @@
   }
 }
 
-/** A queue with its clock, the reported loads and the places given in order. */
-class Bed {
+/** Queue under test with a manual clock; `loads` are the reported loads, `permits` the issued ones. */
+class QueueHarness {
   public readonly clock = new ManualClock();
   public loads = [0];
-  public readonly served: string[] = [];
+  public readonly admitted: string[] = [];
   public readonly refused: string[] = [];
-  public readonly places: IDisposable[] = [];
+  public readonly permits: IDisposable[] = [];
   public readonly queue: DispatchQueue;
   private _count = 0;
 
@@ -33,110 +33,110 @@
   }
 
   public enter(account: string, fields: Partial<IDispatchRequest> = {}): AbortController {
-    const leaving = new AbortController();
+    const caller = new AbortController();
     this._count += 1;
     const request = { service: 'lace', requestId: `${this._count}`, clientAccount: account };
     const sizes = { weight: 1, cost: 1, priority: 0, deadlineMs: this.clock.time + 60_000 };
-    void this.queue.enter({ ...request, ...sizes, ...fields }, leaving.signal).then((result) => {
+    void this.queue.enter({ ...request, ...sizes, ...fields }, caller.signal).then((result) => {
       if (result.ok) {
-        this.served.push(account);
-        this.places.push(result.val);
+        this.admitted.push(account);
+        this.permits.push(result.val);
       } else {
         this.refused.push(result.val.kind);
       }
     });
-    return leaving;
+    return caller;
   }
 
-  /** Reports the loads of the targets. */
+  /** Reports one load for each target; the other targets are gone. */
   public async report(...loads: number[]): Promise<void> {
     this.loads = loads;
     for (const target of ['0', '1', '2', '3']) {
       this.queue.refresh('lace', target, Number(target) >= loads.length);
     }
-    await this.flush();
+    await this.flushPromises();
   }
 
   /** Lets pending promises run. */
-  public async flush(): Promise<void> {
+  public async flushPromises(): Promise<void> {
     await new Promise((resolve) => setImmediate(resolve));
   }
 
-  public async finishOne(): Promise<void> {
-    await this.flush();
-    this.places.shift()?.dispose();
-    await this.flush();
+  public async releaseOne(): Promise<void> {
+    await this.flushPromises();
+    this.permits.shift()?.dispose();
+    await this.flushPromises();
   }
 }
 
 describe('DispatchQueue', () => {
-  it('serves another account next while one floods', async () => {
-    const bed = new Bed();
+  it('does not let a flood of one account starve another', async () => {
+    const bed = new QueueHarness();
     for (let count = 0; count < 100; count++) {
       bed.enter('flood');
     }
     bed.enter('calm');
-    await bed.finishOne();
-    await bed.finishOne();
-    expect(bed.served).toHaveLength(3);
-    expect(bed.served).toContain('calm');
+    await bed.releaseOne();
+    await bed.releaseOne();
+    expect(bed.admitted).toHaveLength(3);
+    expect(bed.admitted).toContain('calm');
   });
 
-  it('refuses at once what finds the queue full, so that no caller waits in vain', async () => {
-    const bed = new Bed({ limits: { maxRequests: 2 } });
+  it('refuses requests at once while the queue is full, so that no caller waits for a refusal', async () => {
+    const bed = new QueueHarness({ limits: { maxRequests: 2 } });
     for (let count = 0; count < 5; count++) {
       bed.enter('pag');
     }
-    await bed.flush();
+    await bed.flushPromises();
     expect(bed.refused).toEqual(['overloaded', 'overloaded']);
     expect(bed.queue.waiting).toBe(2);
   });
 
   it('refuses a request whose deadline passes while it waits', async () => {
-    const bed = new Bed();
+    const bed = new QueueHarness();
     bed.enter('pag');
     bed.enter('pag', { deadlineMs: bed.clock.time + 20 });
-    await bed.flush();
+    await bed.flushPromises();
     bed.clock.time += 21;
     await bed.report(0);
     expect([bed.refused, bed.queue.waiting]).toEqual([['overloaded'], 0]);
   });
 
-  it('takes a request out when its caller leaves, so that no place is lost', async () => {
-    const bed = new Bed();
+  it('removes a request whose caller disconnects, so that no permit leaks', async () => {
+    const bed = new QueueHarness();
     bed.enter('pag');
     const leaving = bed.enter('gone');
     bed.enter('next');
     leaving.abort();
-    await bed.finishOne();
-    expect([bed.served, bed.refused]).toEqual([['pag', 'next'], ['aborted']]);
+    await bed.releaseOne();
+    expect([bed.admitted, bed.refused]).toEqual([['pag', 'next'], ['aborted']]);
   });
 
-  it('leaves the load of other entries room, but not its own reported load', async () => {
-    const bed = new Bed({ maxPerTarget: 10 });
+  it('subtracts the load of other entries from its bound, but not its own reported load', async () => {
+    const bed = new QueueHarness({ maxPerTarget: 10 });
     await bed.report(9, 8);
     for (let count = 0; count < 30; count++) {
       bed.enter('pag');
     }
-    await bed.flush();
-    // Two targets of 10; 17 are taken by others, so only the least share is left.
-    expect(bed.served).toHaveLength(8);
+    await bed.flushPromises();
+    // Two targets of 10, of which others use 17, so only the guaranteed minimum of 4 each is left.
+    expect(bed.admitted).toHaveLength(8);
     await bed.report(9 + 4, 8 + 4);
-    expect(bed.served).toHaveLength(8);
+    expect(bed.admitted).toHaveLength(8);
     await bed.report(4, 4);
-    expect(bed.served).toHaveLength(20);
+    expect(bed.admitted).toHaveLength(20);
   });
 
-  it('lets requests through without targets, so that they are refused with the cause', async () => {
-    const bed = new Bed();
+  it('does not queue requests of a service without targets, so that target selection refuses them', async () => {
+    const bed = new QueueHarness();
     bed.enter('pag');
     bed.enter('pag');
-    await bed.flush();
+    await bed.flushPromises();
     await bed.report();
-    expect(bed.served).toHaveLength(2);
+    expect(bed.admitted).toHaveLength(2);
   });
 
-  it('neither loses a wakeup nor exceeds its bound, whatever happens', async () => {
+  it('never exceeds its bound or leaves requests waiting below it (property)', async () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant('enter'), account: fc.constantFrom('a', 'b', 'c') }),
       fc.record({ kind: fc.constantFrom('finish', 'leave', 'wait'), at: fc.nat(20) }),
@@ -144,35 +144,35 @@
     );
     await fc.assert(
       fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
-        const bed = new Bed({ maxPerTarget: 2 });
-        const leavings: AbortController[] = [];
-        let entered = 0;
-        let most = 1;
+        const bed = new QueueHarness({ maxPerTarget: 2 });
+        const callers: AbortController[] = [];
+        let enteredCount = 0;
+        let maxTargets = 1;
         for (const item of steps) {
           const at = 'at' in item ? item.at : 0;
           if ('account' in item) {
-            leavings.push(bed.enter(item.account));
-            entered += 1;
+            callers.push(bed.enter(item.account));
+            enteredCount += 1;
           } else if (item.kind === 'finish') {
-            await bed.finishOne();
+            await bed.releaseOne();
           } else if (item.kind === 'leave') {
-            leavings[at % (leavings.length + 1)]?.abort();
+            callers[at % (callers.length + 1)]?.abort();
           } else if (item.kind === 'targets') {
-            most = Math.max(most, at);
+            maxTargets = Math.max(maxTargets, at);
             await bed.report(...Array.from({ length: at }, () => 0));
           } else {
             bed.clock.time += at * 100;
           }
-          await bed.flush();
-          expect(bed.queue.inProgress).toBeLessThanOrEqual(2 * most);
+          await bed.flushPromises();
+          expect(bed.queue.inProgress).toBeLessThanOrEqual(2 * maxTargets);
           const isFull = bed.queue.inProgress >= 2 * bed.loads.length;
           expect(bed.queue.waiting === 0 || isFull).toBe(true);
         }
-        while (bed.places.length > 0) {
-          await bed.finishOne();
+        while (bed.permits.length > 0) {
+          await bed.releaseOne();
         }
         expect([bed.queue.waiting, bed.queue.inProgress]).toEqual([0, 0]);
-        expect(bed.served.length + bed.refused.length).toBe(entered);
+        expect(bed.admitted.length + bed.refused.length).toBe(enteredCount);
       }),
       { numRuns: 200, seed: 20_261_204 },
     );
--- a/src/admission/DispatchQueue.ts
+++ b/src/admission/DispatchQueue.ts
@@ -1,23 +1,23 @@
-/** Bounds the dispatches in progress for each service; further requests wait in a fair queue. */
+/** Limits the dispatches in progress for each service; further requests wait in a fair queue. */
 import type { IClock } from '../common/Clock.js';
 import type { IDisposable } from '../common/Lifecycle.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
 import { FairQueue, type IFairQueueLimits, type IQueuedRequest } from './FairQueue.js';
 
 /**
- * Requests that one target takes at a time, running and queued. At the planned peak an engine generates
- * about 143 responses at once (13.6 requests/s of 329 tokens at 32 ms); the rest is its queue.
+ * Requests that a target may have at a time, running and queued. At the planned peak an engine generates
+ * about 143 responses at once (13.6 requests/s of 329 tokens at 32 ms each); the remainder is queued.
  */
-const MAX_PER_TARGET = 256;
+const MAX_REQUESTS_PER_TARGET = 256;
 
-/** Share of this entry at a target that other entries have filled, so that none is shut out. */
-const MIN_PER_TARGET = 4;
+/** Requests per target that this entry may always dispatch, so that other entries can't starve it. */
+const MIN_REQUESTS_PER_TARGET = 4;
 
-/** `Retry-After` of a request that waited in vain. */
-const RETRY_AFTER_WAIT_MS = 1_000;
+/** `Retry-After` of a request whose deadline passed in the queue. */
+const EXPIRED_RETRY_AFTER_MS = 1_000;
 
-/** Loads are summed anew after this time, so that a large roster is not read for each request. */
-const LOAD_CACHE_MS = 50;
+/** Lifetime of the summed loads, so that a large roster is not read for each request. */
+const LOAD_CACHE_TTL_MS = 50;
 
 /** A request that is about to be dispatched. */
 export type IDispatchRequest = Omit<IQueuedRequest<unknown>, 'payload'> & {
@@ -27,43 +27,45 @@
 export type QueueFailure =
   (IFailure<'overloaded'> & { readonly retryAfterMs: number }) | IFailure<'aborted'>;
 
-/** Requests running and queued at a target, as it last reported. */
+/** Requests running and queued at a target, from its last report. */
 export interface IReportedLoad {
   readonly target: string;
   readonly load: number;
 }
 
 export interface IDispatchQueueOptions {
+  /** Lists the reported loads of the service's targets. */
   readonly listLoads: (service: string, now: number) => readonly IReportedLoad[];
   readonly maxPerTarget?: number;
   readonly limits?: Partial<IFairQueueLimits>;
 }
 
 interface IWaiter {
-  readonly finish: (result: Result<IDisposable, QueueFailure>) => void;
+  readonly resolve: (result: Result<IDisposable, QueueFailure>) => void;
 }
 
-/** Own dispatches of a service when a target reported last and the time before. */
-interface IReport {
-  readonly own: number;
-  readonly ownBefore: number;
+/** This entry's dispatches of the service at the last two reports of a target. */
+interface ITargetReport {
+  readonly ownDispatches: number;
+  readonly previousOwnDispatches: number;
 }
 
-/** Dispatches of one service. */
+/** Queue, permits and cached loads of one service. */
 interface IServiceState {
   readonly queue: FairQueue<IWaiter>;
-  readonly reports: Map<string, IReport>;
+  readonly reports: Map<string, ITargetReport>;
   inProgress: number;
-  targets: number;
-  /** Load that other entries put on the targets. */
-  others: number;
+  targetCount: number;
+  /** Estimated load that other entries put on the targets. */
+  otherEntriesLoad: number;
   loadsReadAt: number;
 }
 
 /**
- * The bound of a service is `MAX_PER_TARGET` for each target, less the load that other entries put on the
- * targets: the reported load less the own dispatches that it includes. As reports lag by up to one
- * announcement, these are the most that were in progress at the last two reports.
+ * Issues permits for dispatches to the targets of a service. The bound of a service is
+ * `MAX_REQUESTS_PER_TARGET` for each target, less the load that other entries put on the targets: the
+ * reported load less this entry's own dispatches that it includes. Reports lag by up to one announcement
+ * interval, so the own dispatches are taken as the higher count at the last two reports.
  *
  * @example
  * const permit = await queue.enter(request, signal);
@@ -77,39 +79,43 @@
     private readonly _options: IDispatchQueueOptions,
   ) {}
 
-  /** Requests that wait, over all services. */
+  /** Number of waiting requests, over all services. */
   public get waiting(): number {
     return [...this._services.values()].reduce((sum, { queue }) => sum + queue.size, 0);
   }
 
+  /** Number of permits in use, over all services. */
   public get inProgress(): number {
     return [...this._services.values()].reduce((sum, state) => sum + state.inProgress, 0);
   }
 
-  /** Waits for a place; refuses at once when the queue is full or the deadline cannot be met. */
+  /**
+   * Waits for a permit, which the caller disposes of after the dispatch. Refuses at once when the queue
+   * is full or the request is expected to miss its deadline.
+   */
   public async enter(
     request: IDispatchRequest,
     signal: AbortSignal,
   ): Promise<Result<IDisposable, QueueFailure>> {
-    const state = this._ensure(request.service);
+    const state = this._ensureService(request.service);
     const now = this._clock.now();
     if (signal.aborted) {
-      return Err(describeAborted());
+      return Err(createAbortedFailure());
     }
-    if (state.queue.size === 0 && this._hasRoom(request.service, state, now)) {
-      return Ok(this._grant(request.service, state));
+    if (state.queue.size === 0 && this._hasCapacity(request.service, state, now)) {
+      return Ok(this._issuePermit(request.service, state));
     }
     return this._wait(request, state, signal);
   }
 
-  /** Takes note that a target of the service reported or is gone, and serves waiting requests. */
+  /** Records that a target of the service has reported or is gone, and serves waiting requests. */
   public refresh(service: string, target: string, isGone = false): void {
-    const state = this._ensure(service);
+    const state = this._ensureService(service);
     if (isGone) {
       state.reports.delete(target);
     } else {
-      const ownBefore = state.reports.get(target)?.own ?? 0;
-      state.reports.set(target, { own: state.inProgress, ownBefore });
+      const previousOwnDispatches = state.reports.get(target)?.ownDispatches ?? 0;
+      state.reports.set(target, { ownDispatches: state.inProgress, previousOwnDispatches });
     }
     if (state.queue.size > 0) {
       state.loadsReadAt = -Infinity;
@@ -120,14 +126,14 @@
   private _serveWaiting(service: string, state: IServiceState): void {
     const now = this._clock.now();
     for (const { payload } of state.queue.dropExpired(now)) {
-      payload.finish(Err(describeOverloaded(RETRY_AFTER_WAIT_MS)));
+      payload.resolve(Err(createOverloadedFailure(EXPIRED_RETRY_AFTER_MS)));
     }
     while (state.inProgress < this._computeBound(service, state, now)) {
       const next = state.queue.take(now);
       if (next === undefined) {
         return;
       }
-      next.payload.finish(Ok(this._grant(service, state)));
+      next.payload.resolve(Ok(this._issuePermit(service, state)));
     }
   }
 
@@ -137,41 +143,41 @@
     signal: AbortSignal,
   ): Promise<Result<IDisposable, QueueFailure>> {
     const { clientAccount, requestId, service } = request;
-    let cleanUp = (): void => undefined;
+    let stopWaiting = (): void => undefined;
     try {
-      return await new Promise((finish) => {
+      return await new Promise((resolve) => {
         const now = this._clock.now();
-        const offered = state.queue.enqueue({ ...request, payload: { finish } }, now);
-        if (offered.kind === 'shed') {
-          finish(Err(describeOverloaded(offered.retryAfterMs)));
+        const outcome = state.queue.enqueue({ ...request, payload: { resolve } }, now);
+        if (outcome.kind === 'shed') {
+          resolve(Err(createOverloadedFailure(outcome.retryAfterMs)));
           return;
         }
-        const leave = (): void => {
-          state.queue.withdraw(clientAccount, requestId);
-          finish(Err(describeAborted()));
+        const onAbort = (): void => {
+          state.queue.cancel(clientAccount, requestId);
+          resolve(Err(createAbortedFailure()));
         };
-        const expire = (): void => {
+        const onDeadline = (): void => {
           this._serveWaiting(service, state);
         };
-        const timer = setTimeout(expire, Math.max(0, Math.ceil(request.deadlineMs - now)) + 1);
-        signal.addEventListener('abort', leave, { once: true });
-        cleanUp = () => {
+        const timer = setTimeout(onDeadline, Math.max(0, Math.ceil(request.deadlineMs - now)) + 1);
+        signal.addEventListener('abort', onAbort, { once: true });
+        stopWaiting = () => {
           clearTimeout(timer);
-          signal.removeEventListener('abort', leave);
+          signal.removeEventListener('abort', onAbort);
         };
       });
     } finally {
-      cleanUp();
+      stopWaiting();
     }
   }
 
-  private _grant(service: string, state: IServiceState): IDisposable {
+  private _issuePermit(service: string, state: IServiceState): IDisposable {
     state.inProgress += 1;
-    let isOpen = true;
+    let isHeld = true;
     return {
       dispose: () => {
-        if (isOpen) {
-          isOpen = false;
+        if (isHeld) {
+          isHeld = false;
           state.inProgress -= 1;
           this._serveWaiting(service, state);
         }
@@ -179,8 +185,8 @@
     };
   }
 
-  /** Reads the loads anew before a request has to wait. */
-  private _hasRoom(service: string, state: IServiceState, now: number): boolean {
+  /** True when another dispatch is within the bound. Bypasses the cached loads before a request waits. */
+  private _hasCapacity(service: string, state: IServiceState, now: number): boolean {
     if (state.inProgress < this._computeBound(service, state, now)) {
       return true;
     }
@@ -188,44 +194,47 @@
     return state.inProgress < this._computeBound(service, state, now);
   }
 
-  /** Without targets nothing waits: the request is refused where a target is chosen. */
+  /**
+   * Dispatches of the service that may be in progress. Unlimited without targets: the request then does
+   * not wait, and target selection refuses it.
+   */
   private _computeBound(service: string, state: IServiceState, now: number): number {
-    if (now - state.loadsReadAt >= LOAD_CACHE_MS) {
+    if (now - state.loadsReadAt >= LOAD_CACHE_TTL_MS) {
       this._readLoads(service, state, now);
     }
-    if (state.targets === 0) {
+    if (state.targetCount === 0) {
       return Infinity;
     }
-    const maxPerTarget = this._options.maxPerTarget ?? MAX_PER_TARGET;
-    const leastPerTarget = Math.min(MIN_PER_TARGET, maxPerTarget);
+    const maxPerTarget = this._options.maxPerTarget ?? MAX_REQUESTS_PER_TARGET;
+    const minPerTarget = Math.min(MIN_REQUESTS_PER_TARGET, maxPerTarget);
     return Math.max(
-      state.targets * leastPerTarget,
-      state.targets * maxPerTarget - Math.ceil(state.others),
+      state.targetCount * minPerTarget,
+      state.targetCount * maxPerTarget - Math.ceil(state.otherEntriesLoad),
     );
   }
 
   private _readLoads(service: string, state: IServiceState, now: number): void {
     const loads = this._options.listLoads(service, now);
-    let reported = 0;
-    let own = 0;
+    let reportedLoad = 0;
+    let ownLoad = 0;
     for (const { target, load } of loads) {
       const report = state.reports.get(target);
-      reported += load;
-      own += Math.max(report?.own ?? 0, report?.ownBefore ?? 0);
+      reportedLoad += load;
+      ownLoad += Math.max(report?.ownDispatches ?? 0, report?.previousOwnDispatches ?? 0);
     }
-    state.targets = loads.length;
-    // Each report tells of the own dispatches at all targets; their mean is that of the service.
-    state.others = Math.max(0, reported - own / Math.max(1, loads.length));
+    state.targetCount = loads.length;
+    // Each report recorded the own dispatches at all targets of the service, so their mean is subtracted.
+    state.otherEntriesLoad = Math.max(0, reportedLoad - ownLoad / Math.max(1, loads.length));
     state.loadsReadAt = now;
   }
 
-  private _ensure(service: string): IServiceState {
+  private _ensureService(service: string): IServiceState {
     let state = this._services.get(service);
     if (state === undefined) {
       const queue = new FairQueue<IWaiter>(this._options.limits);
       state = {
-        ...{ queue, reports: new Map<string, IReport>(), inProgress: 0 },
-        ...{ targets: 0, others: 0, loadsReadAt: -Infinity },
+        ...{ queue, reports: new Map<string, ITargetReport>(), inProgress: 0 },
+        ...{ targetCount: 0, otherEntriesLoad: 0, loadsReadAt: -Infinity },
       };
       this._services.set(service, state);
     }
@@ -233,10 +242,10 @@
   }
 }
 
-function describeOverloaded(retryAfterMs: number): QueueFailure {
+function createOverloadedFailure(retryAfterMs: number): QueueFailure {
   return { kind: 'overloaded', message: 'the targets of the service are busy', retryAfterMs };
 }
 
-function describeAborted(): QueueFailure {
+function createAbortedFailure(): QueueFailure {
   return { kind: 'aborted', message: 'the request ended while it waited' };
 }
--- a/src/admission/FairQueue.test.ts
+++ b/src/admission/FairQueue.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { FairQueue, type IQueuedRequest } from './FairQueue.js';
 
-function createQueued(
+function createRequest(
   requestId: string,
   clientAccount: string,
   changes: Partial<IQueuedRequest<string>> = {},
@@ -18,11 +18,11 @@
   };
 }
 
-/** Measures a service rate of one request each 100 ms and leaves `left` urgent requests. */
-function createBusyQueue(account: string, left: number): FairQueue<string> {
+/** Creates a queue with `remaining` urgent requests and a measured rate of one request per 100 ms. */
+function createBusyQueue(account: string, remaining: number): FairQueue<string> {
   const queue = new FairQueue<string>();
-  for (let i = 0; i < 10 + left; i += 1) {
-    queue.enqueue(createQueued(`${account}${i}`, account, { priority: 1 }), 0);
+  for (let i = 0; i < 10 + remaining; i += 1) {
+    queue.enqueue(createRequest(`${account}${i}`, account, { priority: 1 }), 0);
   }
   for (let i = 0; i < 10; i += 1) {
     queue.take(i * 100);
@@ -31,14 +31,14 @@
 }
 
 describe('FairQueue', () => {
-  it('serves the worst-off account first, so that a flood does not starve the others', () => {
+  it('serves the account with the lowest virtual time, so that a flood does not starve others', () => {
     const queue = new FairQueue<string>();
     for (let i = 0; i < 100; i += 1) {
-      queue.enqueue(createQueued(`flood${i}`, 'flood'), 0);
+      queue.enqueue(createRequest(`flood${i}`, 'flood'), 0);
     }
     queue.take(0);
     queue.take(0);
-    queue.enqueue(createQueued('small', 'small'), 1);
+    queue.enqueue(createRequest('small', 'small'), 1);
     const next = [queue.take(1), queue.take(1)].map((request) => request?.requestId);
     expect(next).toContain('small');
   });
@@ -46,8 +46,8 @@
   it('shares by weight while all accounts have requests waiting', () => {
     const queue = new FairQueue<string>();
     for (let i = 0; i < 100; i += 1) {
-      queue.enqueue(createQueued(`a${i}`, 'a', { weight: 3 }), 0);
-      queue.enqueue(createQueued(`b${i}`, 'b', { weight: 1 }), 0);
+      queue.enqueue(createRequest(`a${i}`, 'a', { weight: 3 }), 0);
+      queue.enqueue(createRequest(`b${i}`, 'b', { weight: 1 }), 0);
     }
     const taken = Array.from({ length: 40 }, () => queue.take(0)?.clientAccount);
     expect(taken.filter((account) => account === 'a').length).toBeGreaterThanOrEqual(29);
@@ -57,12 +57,12 @@
   it('gives no credit for idle time, so that a returning account does not block the others', () => {
     const queue = new FairQueue<string>();
     for (let i = 0; i < 50; i += 1) {
-      queue.enqueue(createQueued(`a${i}`, 'a'), 0);
+      queue.enqueue(createRequest(`a${i}`, 'a'), 0);
       queue.take(0);
     }
     for (let i = 0; i < 10; i += 1) {
-      queue.enqueue(createQueued(`x${i}`, 'a'), 1);
-      queue.enqueue(createQueued(`y${i}`, 'b'), 1);
+      queue.enqueue(createRequest(`x${i}`, 'a'), 1);
+      queue.enqueue(createRequest(`y${i}`, 'b'), 1);
     }
     const taken = Array.from({ length: 6 }, () => queue.take(1)?.clientAccount);
     expect(taken.filter((account) => account === 'a').length).toBeGreaterThanOrEqual(2);
@@ -70,49 +70,49 @@
 
   it('orders by priority, then deadline, within one account only', () => {
     const queue = new FairQueue<string>();
-    queue.enqueue(createQueued('late', 'a', { deadlineMs: 9_000 }), 0);
-    queue.enqueue(createQueued('early', 'a', { deadlineMs: 5_000 }), 0);
-    queue.enqueue(createQueued('urgent', 'a', { priority: 1 }), 0);
+    queue.enqueue(createRequest('late', 'a', { deadlineMs: 9_000 }), 0);
+    queue.enqueue(createRequest('early', 'a', { deadlineMs: 5_000 }), 0);
+    queue.enqueue(createRequest('urgent', 'a', { priority: 1 }), 0);
     const taken = [queue.take(0), queue.take(0), queue.take(0)].map((item) => item?.requestId);
     expect(taken).toEqual(['urgent', 'early', 'late']);
   });
 
-  it('sheds at once with a time to retry when the wait exceeds the deadline', () => {
+  it('sheds a request with a retry time when its estimated wait exceeds the deadline', () => {
     const queue = createBusyQueue('a', 20);
-    const result = queue.enqueue(createQueued('r', 'a', { deadlineMs: 1_500 }), 1_000);
+    const result = queue.enqueue(createRequest('r', 'a', { deadlineMs: 1_500 }), 1_000);
     expect(result).toMatchObject({ kind: 'shed', reason: 'deadline' });
     expect(result.kind === 'shed' && result.retryAfterMs).toBeGreaterThan(1_000);
     expect(queue.size).toBe(20);
   });
 
-  it('does not shed the request of an account that waits for nobody', () => {
+  it('does not shed a request for the backlog of another account', () => {
     const queue = createBusyQueue('a', 20);
-    const result = queue.enqueue(createQueued('r', 'b', { deadlineMs: 1_500 }), 1_000);
+    const result = queue.enqueue(createRequest('r', 'b', { deadlineMs: 1_500 }), 1_000);
     expect(result.kind).toBe('queued');
   });
 
-  it('stays within its bounds', () => {
+  it('sheds requests beyond the limits for the queue and for an account', () => {
     const queue = new FairQueue<string>({ maxRequests: 3, maxRequestsPerAccount: 2 });
     const kinds = ['a', 'a', 'a', 'b', 'b'].map(
-      (account, i) => queue.enqueue(createQueued(`r${i}`, account), 0).kind,
+      (account, i) => queue.enqueue(createRequest(`r${i}`, account), 0).kind,
     );
     expect(kinds).toEqual(['queued', 'queued', 'shed', 'queued', 'shed']);
   });
 
-  it('hands over expired requests for an answer and never takes them', () => {
+  it('skips expired requests and returns them separately to be answered', () => {
     const queue = new FairQueue<string>();
-    queue.enqueue(createQueued('old', 'a', { deadlineMs: 100 }), 0);
-    queue.enqueue(createQueued('new', 'a'), 0);
+    queue.enqueue(createRequest('old', 'a', { deadlineMs: 100 }), 0);
+    queue.enqueue(createRequest('new', 'a'), 0);
     expect(queue.take(100)?.requestId).toBe('new');
     expect(queue.dropExpired(100).map((request) => request.requestId)).toEqual(['old']);
     expect(queue.size).toBe(0);
   });
 
-  it('forgets a request whose caller left', () => {
+  it('removes a cancelled request', () => {
     const queue = new FairQueue<string>();
-    queue.enqueue(createQueued('r', 'a'), 0);
-    expect(queue.withdraw('a', 'r')).toBe(true);
-    expect(queue.withdraw('a', 'r')).toBe(false);
+    queue.enqueue(createRequest('r', 'a'), 0);
+    expect(queue.cancel('a', 'r')).toBe(true);
+    expect(queue.cancel('a', 'r')).toBe(false);
     expect(queue.take(0)).toBeUndefined();
   });
 });
--- a/src/admission/FairQueue.ts
+++ b/src/admission/FairQueue.ts
@@ -1,28 +1,28 @@
-/** Fair queue of admitted requests: weighted between client accounts, by priority within one. */
+/** Weighted fair queue over client accounts, ordered by priority and deadline within an account. */
 
-/** A request that waits. */
+/** Request in the queue. */
 export interface IQueuedRequest<T> {
   readonly requestId: string;
   readonly clientAccount: string;
-  /** Share of the account, for instance its rate in tokens/s. */
+  /** Weight of the account, for instance its rate in tokens/s. */
   readonly weight: number;
-  /** Size of the request, for instance in tokens. */
+  /** Cost of the request, for instance in tokens. */
   readonly cost: number;
-  /** Higher values first within the account. */
+  /** Requests with higher values are served first within the account. */
   readonly priority: number;
-  /** Time at which the request is given up. */
+  /** Time at which the request expires. */
   readonly deadlineMs: number;
   readonly payload: T;
 }
 
-export interface IQueueOffered {
+export interface IEnqueueAccepted {
   readonly kind: 'queued';
 }
 
-export interface IQueueShed {
+export interface IEnqueueShed {
   readonly kind: 'shed';
   readonly reason: 'queue-full' | 'deadline';
-  /** Time until the request would have been taken, for `Retry-After`. */
+  /** Estimated wait that the request would have had, for `Retry-After`. */
   readonly retryAfterMs: number;
 }
 
@@ -33,27 +33,28 @@
 
 const DEFAULT_LIMITS: IFairQueueLimits = { maxRequests: 2_000, maxRequestsPerAccount: 500 };
 
-/** Time constant of the measured service rate. */
-const RATE_WINDOW_MS = 5_000;
+/** Time constant of the exponential average of the service rate. */
+const RATE_TIME_CONSTANT_MS = 5_000;
 
-/** Time with a backlog before the service rate is trusted for shedding. */
-const MIN_MEASURED_MS = 200;
+/** Measured time with a backlog that is needed before requests are shed by the service rate. */
+const MIN_RATE_SAMPLE_MS = 200;
 
 const MIN_RETRY_AFTER_MS = 100;
 
 interface IAccountQueue<T> {
   readonly clientAccount: string;
   weight: number;
-  /** Cost taken so far, over the weight: the account with the least is the worst off. */
+  /** Cost served so far, divided by the weight; the account with the lowest value is served next. */
   virtualTime: number;
   queuedCost: number;
-  /** Sorted: the next request is the last item. */
+  /** In ascending order of urgency: the last one is served next. */
   readonly requests: IQueuedRequest<T>[];
 }
 
 /**
- * Start-time fair queueing. An account that was idle starts at the present virtual time, so that it
- * neither saves up a claim nor waits for others to catch up.
+ * Start-time fair queueing over client accounts. An account that was idle starts at the current virtual
+ * time, so that it neither gains credit for idle time nor waits for other accounts to catch up. Sheds
+ * requests that the queue has no space for or that would miss their deadline.
  *
  * @example
  * const queue = new FairQueue<Job>();
@@ -65,11 +66,11 @@
   private readonly _accounts = new Map<string, IAccountQueue<T>>();
   private _virtualTime = 0;
   private _size = 0;
-  /** Cost taken and time passed while requests were waiting, both decayed alike. */
+  /** Cost served and time passed while requests were waiting; both decay with the same time constant. */
   private _measuredCost = 0;
   private _measuredMs = 0;
-  /** Time of the last take that left requests behind. */
-  private _backlogSince: number | undefined;
+  /** Time of the last call of `take` if it left requests in the queue. */
+  private _lastBackloggedTakeAt: number | undefined;
 
   constructor(limits: Partial<IFairQueueLimits> = {}) {
     this._limits = { ...DEFAULT_LIMITS, ...limits };
@@ -79,16 +80,16 @@
     return this._size;
   }
 
-  /** Queues a request, or sheds it at once when it could not be served in time. */
-  public enqueue(request: IQueuedRequest<T>, now: number): IQueueOffered | IQueueShed {
-    const account = this._ensure(request);
+  /** Queues a request, or sheds it when the queue is full or its wait would exceed the deadline. */
+  public enqueue(request: IQueuedRequest<T>, now: number): IEnqueueAccepted | IEnqueueShed {
+    const account = this._ensureAccount(request);
     const waitMs = this.estimateWait(request);
     const isFull =
       this._size >= this._limits.maxRequests ||
       account.requests.length >= this._limits.maxRequestsPerAccount;
     const isLate = now + waitMs >= request.deadlineMs;
     if (isFull || isLate) {
-      this._release(account);
+      this._removeIfIdle(account);
       const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, Math.ceil(waitMs));
       return { kind: 'shed', reason: isFull ? 'queue-full' : 'deadline', retryAfterMs };
     }
@@ -102,29 +103,32 @@
     return { kind: 'queued' };
   }
 
-  /** Next request of the worst-off account. Requests past their deadline are not taken. */
+  /**
+   * Removes and returns the next request of the account with the lowest virtual time, or undefined when
+   * there is none. Requests past their deadline are skipped; `dropExpired` removes them.
+   */
   public take(now: number): IQueuedRequest<T> | undefined {
-    let worst: IAccountQueue<T> | undefined;
+    let leastServed: IAccountQueue<T> | undefined;
     for (const account of this._accounts.values()) {
       if (
-        hasLive(account, now) &&
-        (worst === undefined || account.virtualTime < worst.virtualTime)
+        hasUnexpiredRequest(account, now) &&
+        (leastServed === undefined || account.virtualTime < leastServed.virtualTime)
       ) {
-        worst = account;
+        leastServed = account;
       }
     }
-    const request = worst?.requests.findLast((item) => item.deadlineMs > now);
-    if (worst === undefined || request === undefined) {
+    const request = leastServed?.requests.findLast((item) => item.deadlineMs > now);
+    if (leastServed === undefined || request === undefined) {
       return undefined;
     }
-    this._virtualTime = worst.virtualTime;
-    worst.virtualTime += request.cost / worst.weight;
-    this._removeRequest(worst, request);
+    this._virtualTime = leastServed.virtualTime;
+    leastServed.virtualTime += request.cost / leastServed.weight;
+    this._removeRequest(leastServed, request);
     this._measureRate(request.cost, now);
     return request;
   }
 
-  /** Removes the requests past their deadline; each has to be answered at once. */
+  /** Removes and returns the requests past their deadline, which the caller has to answer. */
   public dropExpired(now: number): IQueuedRequest<T>[] {
     const expired: IQueuedRequest<T>[] = [];
     for (const account of [...this._accounts.values()]) {
@@ -136,8 +140,8 @@
     return expired;
   }
 
-  /** Removes a request whose caller left. */
-  public withdraw(clientAccount: string, requestId: string): boolean {
+  /** Removes a request whose caller disconnected. Returns false when it is not in the queue. */
+  public cancel(clientAccount: string, requestId: string): boolean {
     const account = this._accounts.get(clientAccount);
     const request = account?.requests.find((item) => item.requestId === requestId);
     if (account === undefined || request === undefined) {
@@ -148,65 +152,67 @@
   }
 
   /**
-   * Expected wait of a request in milliseconds, from the measured service rate. Another account
-   * delays the request by at most its share, and by no more than it has queued.
+   * Expected wait of a request in milliseconds, from the measured service rate; zero when the queue is
+   * empty or the rate is not known yet. Another account delays the request by at most its weighted share, and by no more than the
+   * cost that it has queued.
    */
   public estimateWait(request: IQueuedRequest<T>): number {
-    if (this._size === 0 || this._measuredMs < MIN_MEASURED_MS || this._measuredCost === 0) {
+    if (this._size === 0 || this._measuredMs < MIN_RATE_SAMPLE_MS || this._measuredCost === 0) {
       return 0;
     }
-    const own = this._sumAhead(request);
-    let ahead = own;
+    const ownCostAhead = this._sumCostAhead(request);
+    let costAhead = ownCostAhead;
     for (const account of this._accounts.values()) {
       if (account.clientAccount !== request.clientAccount) {
-        const share = ((own + request.cost) * account.weight) / request.weight;
-        ahead += Math.min(account.queuedCost, share);
+        const share = ((ownCostAhead + request.cost) * account.weight) / request.weight;
+        costAhead += Math.min(account.queuedCost, share);
       }
     }
-    return (ahead * this._measuredMs) / this._measuredCost;
+    return (costAhead * this._measuredMs) / this._measuredCost;
   }
 
-  private _sumAhead(request: IQueuedRequest<T>): number {
+  /** Cost of the account's own requests that are served before this one. */
+  private _sumCostAhead(request: IQueuedRequest<T>): number {
     const account = this._accounts.get(request.clientAccount);
-    let ahead = 0;
+    let costAhead = 0;
     for (const item of account?.requests ?? []) {
-      ahead += compareUrgency(item, request) >= 0 ? item.cost : 0;
+      costAhead += compareUrgency(item, request) >= 0 ? item.cost : 0;
     }
-    return ahead;
+    return costAhead;
   }
 
   /**
-   * Measures only between takes that left requests behind: without a backlog the rate is that of
-   * the arrivals and would shed requests of an idle fleet.
+   * Updates the service rate, unless the previous call of `take` left the queue empty. Without a backlog
+   * the arrival rate would be measured, and requests of an idle fleet would be shed.
    */
   private _measureRate(cost: number, now: number): void {
-    if (this._backlogSince !== undefined) {
-      const elapsed = now - this._backlogSince;
-      const kept = Math.exp(-elapsed / RATE_WINDOW_MS);
-      this._measuredCost = this._measuredCost * kept + cost;
-      this._measuredMs = this._measuredMs * kept + elapsed;
+    if (this._lastBackloggedTakeAt !== undefined) {
+      const elapsedMs = now - this._lastBackloggedTakeAt;
+      const decay = Math.exp(-elapsedMs / RATE_TIME_CONSTANT_MS);
+      this._measuredCost = this._measuredCost * decay + cost;
+      this._measuredMs = this._measuredMs * decay + elapsedMs;
     }
-    this._backlogSince = this._size > 0 ? now : undefined;
+    this._lastBackloggedTakeAt = this._size > 0 ? now : undefined;
   }
 
   private _removeRequest(account: IAccountQueue<T>, request: IQueuedRequest<T>): void {
     account.requests.splice(account.requests.lastIndexOf(request), 1);
     account.queuedCost -= request.cost;
     this._size -= 1;
-    this._release(account);
+    this._removeIfIdle(account);
   }
 
-  /** Forgets an idle account whose virtual time says nothing any more. */
-  private _release(account: IAccountQueue<T>): void {
+  /** Removes an account without requests unless its virtual time is ahead of the current one. */
+  private _removeIfIdle(account: IAccountQueue<T>): void {
     if (account.requests.length === 0 && account.virtualTime <= this._virtualTime) {
       this._accounts.delete(account.clientAccount);
     }
   }
 
-  private _ensure(request: IQueuedRequest<T>): IAccountQueue<T> {
-    const known = this._accounts.get(request.clientAccount);
-    if (known !== undefined) {
-      return known;
+  private _ensureAccount(request: IQueuedRequest<T>): IAccountQueue<T> {
+    const existing = this._accounts.get(request.clientAccount);
+    if (existing !== undefined) {
+      return existing;
     }
     const account: IAccountQueue<T> = {
       clientAccount: request.clientAccount,
@@ -220,16 +226,16 @@
   }
 }
 
-/** Positive when the left request is taken first. */
+/** Positive when the left request is served before the right one. */
 function compareUrgency<T>(left: IQueuedRequest<T>, right: IQueuedRequest<T>): number {
   return left.priority - right.priority || right.deadlineMs - left.deadlineMs;
 }
 
 function insertSorted<T>(requests: IQueuedRequest<T>[], request: IQueuedRequest<T>): void {
-  const place = requests.findIndex((item) => compareUrgency(item, request) >= 0);
-  requests.splice(place < 0 ? requests.length : place, 0, request);
+  const index = requests.findIndex((item) => compareUrgency(item, request) >= 0);
+  requests.splice(index < 0 ? requests.length : index, 0, request);
 }
 
-function hasLive<T>(account: IAccountQueue<T>, now: number): boolean {
+function hasUnexpiredRequest<T>(account: IAccountQueue<T>, now: number): boolean {
   return account.requests.some((item) => item.deadlineMs > now);
 }
--- a/src/admission/GrantWallet.test.ts
+++ b/src/admission/GrantWallet.test.ts
@@ -16,7 +16,7 @@
 import { measureExcess, type IAdmission } from '../state/AdmissionBound.js';
 import { ControlState } from '../state/ControlState.js';
 import { Ledger } from '../state/Ledger.js';
-import { LEASE_MS } from './AccountWallet.js';
+import { GRANT_LEASE_MS } from './AccountWallet.js';
 import { GrantWallet, type IReservation } from './GrantWallet.js';
 
 const ACCOUNT = 'lab';
@@ -25,7 +25,7 @@
 const SYNC_INTERVAL_MS = 200;
 const TIMEOUT_MS = 100;
 
-/** The control state behind encoded commands, as an entry sees it. */
+/** Control state that is reached through encoded commands, as by an entry. */
 class Control {
   public readonly ledger = new Ledger();
   private readonly _state = new ControlState(this.ledger);
@@ -59,12 +59,12 @@
   readonly rate: number;
   readonly burst: number;
   readonly entries: number;
-  /** Share of the answers that are lost, of the requests likewise. */
+  /** Share of the exchanges whose request is lost; the same share of the answers is lost. */
   readonly loss: number;
-  /** Demand in relation to the rate. */
+  /** Ratio of the demand to the rate. */
   readonly load: number;
   readonly reservedTokens: number;
-  /** Share of the reservation that is used. */
+  /** Share of the reserved tokens that is used. */
   readonly use: number;
   readonly requestMs: number;
   readonly durationMs: number;
@@ -76,8 +76,8 @@
   readonly offered: number;
   readonly refused: number;
   /**
-   * Refused although one central bucket with the same reservations and plain, immediate refunds would
-   * have had the tokens.
+   * Requests refused although a single central bucket with the same reservations and immediate refunds
+   * in full would have had the tokens.
    */
   readonly wrongful: number;
 }
@@ -87,10 +87,10 @@
   pending: { command: SyncGrantsCommand; retryAtMs: number } | undefined;
   answer: SyncGrantsResult | undefined;
   nextSyncAtMs: number;
-  waiting: { tokens: number; waiter: IDisposable; tries: number }[];
+  waitingRequests: { tokens: number; waiter: IDisposable; tries: number }[];
 }
 
-interface IRunning {
+interface IRunningRequest {
   readonly wallet: GrantWallet;
   readonly reservation: IReservation;
   readonly endsAtMs: number;
@@ -105,8 +105,8 @@
 }
 
 /**
- * Entries with wallets, a ledger and lossy exchanges. Two thirds of the demand are at one entry, which
- * changes every second.
+ * Simulates entries with wallets that exchange grants with a ledger over a lossy network. Two thirds of
+ * the demand go to one entry, and that entry changes every second.
  */
 class Fleet {
   private readonly _control: Control;
@@ -118,8 +118,8 @@
     refilledTokens: number;
     burstTokens: number;
   }[] = [];
-  private _running: IRunning[] = [];
-  private _idealLevel: number;
+  private _running: IRunningRequest[] = [];
+  private _centralBucketLevel: number;
   private _offered = 0;
   private _refused = 0;
   private _wrongful = 0;
@@ -128,24 +128,24 @@
   constructor(private readonly _options: IFleetOptions) {
     this._control = new Control(_options.rate, _options.burst);
     this._random = createRandom(_options.seed);
-    this._idealLevel = _options.burst;
+    this._centralBucketLevel = _options.burst;
     this._entries = Array.from({ length: _options.entries }, (_, index) => ({
       wallet: new GrantWallet({ instance: `e${index}`, incarnation: Uint8Array.of(index) }),
       pending: undefined,
       answer: undefined,
       nextSyncAtMs: index * 7,
-      waiting: [],
+      waitingRequests: [],
     }));
   }
 
   public run(): IFleetResult {
     for (; this._nowMs < this._options.durationMs; this._nowMs += TICK_MS) {
-      this._settle();
+      this._settleEnded();
       this._admitArrivals();
       this._entries.forEach((entry) => {
         this._syncEntry(entry);
       });
-      this._raiseIdeal((this._options.rate * TICK_MS) / 1_000);
+      this._addToCentralBucket((this._options.rate * TICK_MS) / 1_000);
     }
     const {
       _admissions: admissions,
@@ -160,14 +160,14 @@
     const { rate, load, reservedTokens, use, entries } = this._options;
     const perTick = (rate * load * TICK_MS) / 1_000 / (reservedTokens * use);
     for (let left = perTick; left > this._random(); left -= 1) {
-      const hot = Math.floor(this._nowMs / 1_000) % entries;
-      const position = this._random() < 2 / 3 ? hot : Math.floor(this._random() * entries);
+      const busiest = Math.floor(this._nowMs / 1_000) % entries;
+      const position = this._random() < 2 / 3 ? busiest : Math.floor(this._random() * entries);
       const entry = this._entries[position];
       const tokens = Math.ceil(reservedTokens * (0.5 + this._random()));
       this._offered += 1;
       if (entry !== undefined && !this._admit(entry, tokens)) {
         const waiter = entry.wallet.addWaiter(ACCOUNT, tokens);
-        entry.waiting.push({ tokens, waiter, tries: 0 });
+        entry.waitingRequests.push({ tokens, waiter, tries: 0 });
       }
     }
   }
@@ -179,7 +179,7 @@
       return false;
     }
     const usedTokens = Math.ceil(tokens * use);
-    this._idealLevel -= tokens;
+    this._centralBucketLevel -= tokens;
     const refilledTokens = (rate * this._nowMs) / 1_000;
     this._admissions.push({ atMs: this._nowMs, usedTokens, refilledTokens, burstTokens: burst });
     const endsAtMs = this._nowMs + requestMs * (0.5 + this._random());
@@ -187,17 +187,17 @@
     return true;
   }
 
-  private _raiseIdeal(tokens: number): void {
-    this._idealLevel = Math.min(this._options.burst, this._idealLevel + tokens);
+  private _addToCentralBucket(tokens: number): void {
+    this._centralBucketLevel = Math.min(this._options.burst, this._centralBucketLevel + tokens);
   }
 
-  private _settle(): void {
+  private _settleEnded(): void {
     const ended = this._running.filter(({ endsAtMs }) => endsAtMs <= this._nowMs);
     this._running = this._running.filter(({ endsAtMs }) => endsAtMs > this._nowMs);
     for (const { wallet, reservation } of ended) {
       const used = Math.ceil(reservation.tokens * this._options.use);
       wallet.settle(reservation, used);
-      this._raiseIdeal(reservation.tokens - used);
+      this._addToCentralBucket(reservation.tokens - used);
     }
   }
 
@@ -207,9 +207,9 @@
       wallet.applyResult(pending.command, answer);
       entry.pending = undefined;
       entry.answer = undefined;
-      this._decide(entry);
+      this._retryWaiting(entry);
     }
-    const isDue = entry.waiting.length > 0 || this._nowMs >= entry.nextSyncAtMs;
+    const isDue = entry.waitingRequests.length > 0 || this._nowMs >= entry.nextSyncAtMs;
     const canSend = entry.pending === undefined ? isDue : this._nowMs >= entry.pending.retryAtMs;
     const command = canSend ? wallet.buildSync(this._nowMs) : undefined;
     if (command === undefined) {
@@ -223,15 +223,15 @@
     }
   }
 
-  /** A request waits for one exchange that was built after its arrival, then it is refused. */
-  private _decide(entry: IEntryState): void {
-    entry.waiting = entry.waiting.filter((request) => {
+  /** Refuses a request after one exchange that was built after its arrival did not bring its tokens. */
+  private _retryWaiting(entry: IEntryState): void {
+    entry.waitingRequests = entry.waitingRequests.filter((request) => {
       request.tries += 1;
       const isAdmitted = this._admit(entry, request.tokens);
       const isRefused = !isAdmitted && request.tries > 1;
       if (isRefused) {
         this._refused += 1;
-        this._wrongful += this._idealLevel >= request.tokens ? 1 : 0;
+        this._wrongful += this._centralBucketLevel >= request.tokens ? 1 : 0;
       }
       if (isAdmitted || isRefused) {
         request.waiter.dispose();
@@ -255,7 +255,7 @@
 };
 
 describe('fleet of wallets', () => {
-  it('never admits more than rate x time + burst, whatever is lost', () => {
+  it('never admits more than rate x time + burst when messages are lost', () => {
     const property = fc.property(
       fc.record({
         rate: fc.integer({ min: 1_000, max: 50_000 }),
@@ -279,14 +279,14 @@
   it.each([
     ['that moves between entries', {}],
     ['with a tenth of all messages lost', { loss: 0.1 }],
-    ['of which a tenth comes back as refunds', { use: 0.9 }],
-    ['of which most comes back, with a burst for that', { use: 0.25, burst: 200_000 }],
-  ])('refuses next to nothing within the rate for demand %s', (_, options) => {
+    ['of which a tenth is refunded', { use: 0.9 }],
+    ['of which most is refunded, with a burst large enough', { use: 0.25, burst: 200_000 }],
+  ])('wrongly refuses less than 0.5 % of the requests for demand %s', (_, options) => {
     const { wrongful, offered } = new Fleet({ ...MOVING_DEMAND, ...options }).run();
     expect(wrongful / offered).toBeLessThan(0.005);
   });
 
-  it('uses the whole rate under overload, so that safety does not cost throughput', () => {
+  it('uses more than 90 % of the rate under overload, so that the bound costs little throughput', () => {
     const { admissions } = new Fleet({ ...MOVING_DEMAND, load: 3, durationMs: 20_000 }).run();
     const used = admissions.reduce((sum, { usedTokens }) => sum + usedTokens, 0);
     expect(used / (20_000 * 20 + 40_000)).toBeGreaterThan(0.9);
@@ -294,7 +294,7 @@
 });
 
 describe('GrantWallet', () => {
-  function createHolding(tokens: number): { wallet: GrantWallet; control: Control } {
+  function createWalletWithGrant(tokens: number): { wallet: GrantWallet; control: Control } {
     const control = new Control(0, 10_000);
     const wallet = new GrantWallet({ instance: 'e', incarnation: Uint8Array.of(1) });
     const waiter = wallet.addWaiter(ACCOUNT, tokens);
@@ -310,8 +310,8 @@
     }
   }
 
-  it('repeats an unanswered exchange unchanged, so that nothing is reported or granted twice', () => {
-    const { wallet, control } = createHolding(1_000);
+  it('resends an unanswered exchange unchanged, so that nothing is reported or granted twice', () => {
+    const { wallet, control } = createWalletWithGrant(1_000);
     const reservation = wallet.tryReserve(ACCOUNT, 400, 10);
     const lost = wallet.buildSync(20);
     expect(lost).toBeDefined();
@@ -326,19 +326,19 @@
     expect(account?.outstanding).toBe(wallet.sumAvailable(ACCOUNT, 120));
   });
 
-  it('counts the lease from the first sending, so that a late answer is not spent too late', () => {
+  it('counts the lease from the first attempt, so that a late answer does not extend it', () => {
     const control = new Control(0, 10_000);
     const wallet = new GrantWallet({ instance: 'e', incarnation: Uint8Array.of(1) });
     wallet.addWaiter(ACCOUNT, 1_000);
     wallet.buildSync(0);
     const again = wallet.buildSync(1_500) ?? create(SyncGrantsCommandSchema);
     wallet.applyResult(again, control.sync(1_500, again));
-    expect(wallet.sumAvailable(ACCOUNT, LEASE_MS - 1)).toBe(1_000);
-    expect(wallet.tryReserve(ACCOUNT, 1, LEASE_MS)).toBeUndefined();
+    expect(wallet.sumAvailable(ACCOUNT, GRANT_LEASE_MS - 1)).toBe(1_000);
+    expect(wallet.tryReserve(ACCOUNT, 1, GRANT_LEASE_MS)).toBeUndefined();
   });
 
-  it('spends tokens of a short request again before their spending was reported', () => {
-    const { wallet } = createHolding(1_000);
+  it('reuses the unused tokens of a request whose spending was not reported yet', () => {
+    const { wallet } = createWalletWithGrant(1_000);
     const reservation = wallet.tryReserve(ACCOUNT, 1_000, 10);
     if (reservation !== undefined) {
       wallet.settle(reservation, 300);
@@ -347,8 +347,8 @@
     expect(wallet.sumAvailable(ACCOUNT, 20)).toBe(700);
   });
 
-  it('returns what it does not want any more, so that other entries get it', () => {
-    const { wallet, control } = createHolding(8_000);
+  it('returns tokens that it no longer wants, so that other entries can get them', () => {
+    const { wallet, control } = createWalletWithGrant(8_000);
     wallet.tryReserve(ACCOUNT, 1_000, 10);
     syncOnce(wallet, control, 20);
     expect(wallet.sumAvailable(ACCOUNT, 20)).toBe(500);
--- a/src/admission/GrantWallet.ts
+++ b/src/admission/GrantWallet.ts
@@ -1,6 +1,6 @@
 /**
- * The entry's side of the token ledger (design 3.4): holds granted tokens, spends them on requests and
- * settles them with the ledger.
+ * Client side of the token ledger in an entry (design 3.4): holds granted tokens, charges requests
+ * against them and settles them with the ledger.
  */
 import { create } from '@bufbuild/protobuf';
 import type { IDisposable } from '../common/Lifecycle.js';
@@ -10,7 +10,7 @@
   type SyncGrantsResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
 import type { IEntryProcess } from '../state/EntryProcess.js';
-import { AccountWallet, type ITaken } from './AccountWallet.js';
+import { AccountWallet, type ICharge } from './AccountWallet.js';
 
 /** Tokens charged for one admitted request. */
 export interface IReservation {
@@ -18,38 +18,42 @@
   readonly tokens: number;
 }
 
+/** Reservation that is not settled yet. */
 interface IOpenReservation extends IReservation {
-  readonly taken: ITaken;
-  /** Number of the exchange that reports the tokens as spent. */
+  readonly charge: ICharge;
+  /** Sequence number of the exchange that reports the tokens as spent. */
   readonly sequence: bigint;
 }
 
+/** Unused tokens whose spending was reported, by account and grant epoch. */
 interface IRefund {
   readonly clientAccount: string;
   readonly epoch: bigint;
   tokens: number;
 }
 
+/** Exchange without an answer so far. */
 interface IPendingSync {
   readonly command: SyncGrantsCommand;
   readonly sentAt: number;
 }
 
 /**
- * Wallet of one entry process. Times are milliseconds of the process's monotonic clock.
+ * Holds the grants and open reservations of one entry process and builds its exchanges with the ledger.
+ * Times are milliseconds of the process's monotonic clock.
  *
  * @example
  * const reservation = wallet.tryReserve('lab', 4_000, now);
  * // ... the request ran and used 900 tokens ...
- * wallet.settle(reservation, 900, now);
+ * wallet.settle(reservation, 900);
  * const command = wallet.buildSync(now);
  * wallet.applyResult(command, await control.syncGrants(command));
  */
 export class GrantWallet {
   private readonly _accounts = new Map<string, AccountWallet>();
-  private readonly _open = new Map<IReservation, IOpenReservation>();
+  private readonly _openReservations = new Map<IReservation, IOpenReservation>();
   private readonly _refunds = new Map<string, IRefund>();
-  private _pending: IPendingSync | undefined;
+  private _pendingSync: IPendingSync | undefined;
   private _nextSequence = 1n;
 
   constructor(private readonly _entry: IEntryProcess) {}
@@ -60,63 +64,63 @@
   }
 
   /**
-   * Charges a request, or returns undefined when the tokens held are not enough. The caller may then
+   * Charges a request, or returns undefined when the wallet holds too few tokens. The caller may then
    * add a waiter, exchange at once and try again.
    */
   public tryReserve(clientAccount: string, tokens: number, now: number): IReservation | undefined {
-    const whole = Math.ceil(tokens);
-    const taken = this._accounts.get(clientAccount)?.take(whole, now);
-    if (taken === undefined) {
+    const wholeTokens = Math.ceil(tokens);
+    const charge = this._accounts.get(clientAccount)?.charge(wholeTokens, now);
+    if (charge === undefined) {
       return undefined;
     }
     const sequence = this._nextSequence;
-    const reservation = { clientAccount, tokens: whole, taken, sequence };
-    this._open.set(reservation, reservation);
+    const reservation = { clientAccount, tokens: wholeTokens, charge, sequence };
+    this._openReservations.set(reservation, reservation);
     return reservation;
   }
 
-  /** Adds tokens that a request waits for to what the next exchange asks for. */
+  /** Adds the tokens of a waiting request to the next exchanges until the result is disposed of. */
   public addWaiter(clientAccount: string, tokens: number): IDisposable {
     return this._ensureAccount(clientAccount).addWaiter(Math.ceil(tokens));
   }
 
   /**
-   * Time until a request that waits since then may get its tokens; undefined while the ledger has not
-   * been asked for it and answered.
+   * Returns the time in milliseconds until a request that waits since `waitingSince` may get its tokens,
+   * or undefined until the ledger has answered an exchange sent since then.
    */
-  public getRetryAfterMs(clientAccount: string, since: number): number | undefined {
-    return this._accounts.get(clientAccount)?.getRetryAfterMs(since);
+  public getRetryAfterMs(clientAccount: string, waitingSince: number): number | undefined {
+    return this._accounts.get(clientAccount)?.getRetryAfterMs(waitingSince);
   }
 
   /**
-   * Ends a reservation. Unused tokens go back to the wallet when their spending was not reported yet,
-   * else to the ledger as a refund. Use beyond the reservation is not charged, and a second settlement
-   * does nothing.
+   * Ends a reservation. Unused tokens return to the wallet if their spending was not reported yet,
+   * otherwise to the ledger as a refund. Tokens used beyond the reservation are not charged, and a
+   * second settlement has no effect.
    */
   public settle(reservation: IReservation, usedTokens: number): void {
-    const open = this._open.get(reservation);
-    if (open === undefined) {
+    const openReservation = this._openReservations.get(reservation);
+    if (openReservation === undefined) {
       return;
     }
-    this._open.delete(reservation);
+    this._openReservations.delete(reservation);
     const used = Math.max(0, Math.ceil(usedTokens));
-    const unused = Math.max(0, open.tokens - used);
-    if (open.sequence === this._nextSequence) {
-      this._accounts.get(open.clientAccount)?.giveBack(open.taken, unused);
+    const unused = Math.max(0, openReservation.tokens - used);
+    if (openReservation.sequence === this._nextSequence) {
+      this._accounts.get(openReservation.clientAccount)?.reclaim(openReservation.charge, unused);
     } else if (unused > 0) {
-      this._addRefund(open.clientAccount, open.taken.epoch, unused);
+      this._addRefund(openReservation.clientAccount, openReservation.charge.epoch, unused);
     }
   }
 
   /**
-   * The next exchange. Until `applyResult` it is the same command again, so that the ledger can tell a
-   * resend after a lost answer. Undefined when there is nothing to exchange.
+   * Builds the next exchange, or returns undefined when there is nothing to exchange. Returns the same
+   * command until `applyResult`, so that the ledger recognises a resend after a lost answer.
    */
   public buildSync(now: number): SyncGrantsCommand | undefined {
-    if (this._pending !== undefined) {
-      return this._pending.command;
+    if (this._pendingSync !== undefined) {
+      return this._pendingSync.command;
     }
-    this._forgetIdle(now);
+    this._pruneIdleAccounts(now);
     if (this._accounts.size === 0 && this._refunds.size === 0) {
       return undefined;
     }
@@ -128,29 +132,29 @@
     });
     this._refunds.clear();
     this._nextSequence += 1n;
-    this._pending = { command, sentAt: now };
+    this._pendingSync = { command, sentAt: now };
     return command;
   }
 
   /**
-   * Takes the answer to a command of `buildSync`; answers to other commands change nothing. The leases
-   * count from the first time that the command was sent.
+   * Applies the answer to the pending command of `buildSync` and ignores answers to other commands. The
+   * leases count from the first time that the command was built.
    */
   public applyResult(command: SyncGrantsCommand, result: SyncGrantsResult): void {
-    const pending = this._pending;
+    const pending = this._pendingSync;
     if (pending?.command !== command) {
       return;
     }
-    this._pending = undefined;
+    this._pendingSync = undefined;
     for (const grant of result.grants) {
       this._ensureAccount(grant.clientAccount).addGrant(grant, pending.sentAt);
     }
   }
 
   private _ensureAccount(clientAccount: string): AccountWallet {
-    const known = this._accounts.get(clientAccount);
-    if (known !== undefined) {
-      return known;
+    const existing = this._accounts.get(clientAccount);
+    if (existing !== undefined) {
+      return existing;
     }
     const account = new AccountWallet(clientAccount);
     this._accounts.set(clientAccount, account);
@@ -159,15 +163,15 @@
 
   private _addRefund(clientAccount: string, epoch: bigint, tokens: number): void {
     const key = `${epoch} ${clientAccount}`;
-    const known = this._refunds.get(key);
-    if (known === undefined) {
+    const existing = this._refunds.get(key);
+    if (existing === undefined) {
       this._refunds.set(key, { clientAccount, epoch, tokens });
     } else {
-      known.tokens += tokens;
+      existing.tokens += tokens;
     }
   }
 
-  private _forgetIdle(now: number): void {
+  private _pruneIdleAccounts(now: number): void {
     for (const [clientAccount, account] of this._accounts) {
       if (account.isIdle(now)) {
         this._accounts.delete(clientAccount);
--- a/src/admission/RetryBudget.test.ts
+++ b/src/admission/RetryBudget.test.ts
@@ -10,7 +10,7 @@
 }
 
 describe('RetryBudget', () => {
-  it('limits retries to a tenth of the requests and three a second', () => {
+  it('limits retries to a tenth of the requests plus three per second', () => {
     const budget = new RetryBudget(0);
     let retries = 0;
     for (let now = 0; now < 10_000; now += 10) {
@@ -21,12 +21,12 @@
     expect(retries).toBeGreaterThanOrEqual(125);
   });
 
-  it('does not save up retries without limit, so that an outage is not followed by a storm', () => {
+  it('limits the accumulated retries, so that an outage is not followed by a retry storm', () => {
     const budget = new RetryBudget(0);
     expect(countRetries(budget, 3_600_000)).toBe(30);
   });
 
-  it('ignores a time before the last one', () => {
+  it('adds no retries when the clock goes back', () => {
     const budget = new RetryBudget(1_000);
     countRetries(budget, 1_000);
     expect(budget.trySpend(0)).toBe(false);
--- a/src/admission/RetryBudget.ts
+++ b/src/admission/RetryBudget.ts
@@ -1,16 +1,16 @@
-/** Bound of the retries, so that retries never multiply an overload. */
+/** Limits retries in relation to requests, so that they do not multiply an overload. */
 
-/** Retries earned by each request. */
-const SHARE_OF_REQUESTS = 0.1;
+/** Retries that each request adds to the budget. */
+const RETRIES_PER_REQUEST = 0.1;
 
-/** Retries earned each second, so that light traffic may retry too. */
+/** Retries added each second, so that light traffic may retry too. */
 const RETRIES_PER_SECOND = 3;
 
-/** Most retries that are saved up. */
-const MAX_SAVED = 30;
+/** Capacity of the token bucket. */
+const MAX_AVAILABLE_RETRIES = 30;
 
 /**
- * Token bucket of retries.
+ * Token bucket of retries, filled by requests and by time.
  *
  * @example
  * const budget = new RetryBudget(clock.now());
@@ -18,32 +18,38 @@
  * if (budget.trySpend(now)) { retry(); }
  */
 export class RetryBudget {
-  private _saved = RETRIES_PER_SECOND;
+  private _availableRetries = RETRIES_PER_SECOND;
   private _refilledAt: number;
 
   constructor(now: number) {
     this._refilledAt = now;
   }
 
-  /** Counts a request that is not a retry. */
+  /** Adds the share of a request that is not a retry. */
   public recordRequest(now: number): void {
     this._refill(now);
-    this._saved = Math.min(MAX_SAVED, this._saved + SHARE_OF_REQUESTS);
+    this._availableRetries = Math.min(
+      MAX_AVAILABLE_RETRIES,
+      this._availableRetries + RETRIES_PER_REQUEST,
+    );
   }
 
-  /** Takes one retry if there is one. */
+  /** Spends one retry; returns false when the budget is used up. */
   public trySpend(now: number): boolean {
     this._refill(now);
-    if (this._saved < 1) {
+    if (this._availableRetries < 1) {
       return false;
     }
-    this._saved -= 1;
+    this._availableRetries -= 1;
     return true;
   }
 
   private _refill(now: number): void {
-    const elapsed = Math.max(0, now - this._refilledAt);
+    const elapsedMs = Math.max(0, now - this._refilledAt);
     this._refilledAt = Math.max(this._refilledAt, now);
-    this._saved = Math.min(MAX_SAVED, this._saved + (elapsed * RETRIES_PER_SECOND) / 1_000);
+    this._availableRetries = Math.min(
+      MAX_AVAILABLE_RETRIES,
+      this._availableRetries + (elapsedMs * RETRIES_PER_SECOND) / 1_000,
+    );
   }
 }
