--- a/src/admission/Admitter.ts
+++ b/src/admission/Admitter.ts
@@ -5,7 +5,7 @@
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
 import { addJitter, isAborted, sleep } from '../common/Tasks.js';
 import type { ControlClient } from '../control/ControlClient.js';
-import { NEVER_MS } from '../state/AccountLedger.js';
+import { NEVER_RETRY_AFTER_MS } from '../state/AccountLedger.js';
 import type { GrantWallet, IReservation } from './GrantWallet.js';
 
 /** Interval between grant exchanges for the accounts in use while no request waits. */
@@ -178,7 +178,7 @@
     if (retryAfterMs === undefined) {
       return waitedMs < MAX_CONTROL_WAIT_MS ? undefined : Err(createUnavailableFailure());
     }
-    if (retryAfterMs >= NEVER_MS) {
+    if (retryAfterMs >= NEVER_RETRY_AFTER_MS) {
       return Err({ kind: 'too_costly', message: 'the request exceeds the burst' });
     }
     const isTooLong = waitedMs + retryAfterMs > MAX_TOKEN_WAIT_MS;
--- a/src/admission/DispatchQueue.test.ts
+++ b/src/admission/DispatchQueue.test.ts
@@ -82,7 +82,7 @@
     expect(bed.admitted).toContain('calm');
   });
 
-  it('refuses requests at once while the queue is full, so that no caller waits for a refusal', async () => {
+  it('refuses requests at once while the queue is full, so that none waits in vain', async () => {
     const bed = new QueueHarness({ limits: { maxRequests: 2 } });
     for (let count = 0; count < 5; count++) {
       bed.enter('pag');
@@ -127,7 +127,7 @@
     expect(bed.admitted).toHaveLength(20);
   });
 
-  it('does not queue requests of a service without targets, so that target selection refuses them', async () => {
+  it('does not queue requests without targets, so that target selection refuses them', async () => {
     const bed = new QueueHarness();
     bed.enter('pag');
     bed.enter('pag');
--- a/src/admission/FairQueue.ts
+++ b/src/admission/FairQueue.ts
@@ -153,8 +153,8 @@
 
   /**
    * Expected wait of a request in milliseconds, from the measured service rate; zero when the queue is
-   * empty or the rate is not known yet. Another account delays the request by at most its weighted share, and by no more than the
-   * cost that it has queued.
+   * empty or the rate is not known yet. Another account delays the request by at most its weighted
+   * share, and by no more than the cost that it has queued.
    */
   public estimateWait(request: IQueuedRequest<T>): number {
     if (this._size === 0 || this._measuredMs < MIN_RATE_SAMPLE_MS || this._measuredCost === 0) {
--- a/src/state/AccountLedger.ts
+++ b/src/state/AccountLedger.ts
@@ -1,22 +1,25 @@
 /**
- * Token bucket of one client account over the whole fleet (design 3.4).
+ * Token bucket of one client account for the whole fleet (design 3.4).
  *
- * With P = level + outstanding, the tokens finally used by the requests admitted between any two
- * instants t seconds apart are at most rate x t + burst:
+ * Guarantee: the tokens finally used by the requests admitted between any two instants t seconds apart
+ * are at most rate x t + burst. With P = level + outstanding, it follows from these invariants:
  *
  * - Entries hold no more unspent tokens than are outstanding, and P never exceeds the burst.
- * - shadow[e] is an upper limit for P in the history in which every later refund of a grant of epoch
- *   e had been known at admission. A refund raises P to at most that.
+ * - The limit of epoch e (`shadows` in the snapshot) is an upper limit for P in the hypothetical history
+ *   in which every later refund of a grant of epoch e was known at admission. A refund of a grant of
+ *   epoch e raises P to at most that limit.
  *
- * A refund is worth nothing beyond the level that the bucket had at the begin of epoch e: of a bucket
- * that was full then, the overcharge comes back by refilling only.
+ * A refund has no effect beyond the level of the bucket at the beginning of epoch e: if the bucket
+ * was full then, the overcharge is recovered by refilling only.
  *
  * Changed limits: the level is kept. A higher burst fills up at the rate. A lower burst cuts the level
- * and the shadows at once; tokens that entries hold already can't be recalled, so P may exceed the
- * new burst until they are spent, returned or expired, at the latest after `GRANT_EXPIRY_MS`. Until
- * then nothing is granted while P exceeds the burst, and the bound of an interval that begins in this
- * time has the tokens outstanding at its begin in place of the burst. A deleted account keeps its
- * bucket until it is full again; an account created after that is a new one with a full bucket.
+ * and the epoch limits at once. Tokens that entries already hold can't be recalled, so P may exceed the
+ * new burst until they are spent, returned or expired, at the latest after `GRANT_EXPIRY_MS`. Nothing is
+ * granted while P exceeds the burst, and the guarantee for an interval that begins in this time has the
+ * tokens outstanding at its beginning in place of the burst.
+ *
+ * A deleted account keeps its bucket until it is full again; an account created after that is a new one
+ * with a full bucket.
  */
 import { create } from '@bufbuild/protobuf';
 import { isBroken } from '../common/TestSwitches.js';
@@ -35,18 +38,19 @@
 /** Length of an epoch in logical time. */
 export const EPOCH_MS = 1_000;
 
-/** Refunds for older epochs are dropped. */
-export const EPOCHS_KEPT = 120;
+/** Number of epochs with a limit; refunds for older epochs are dropped. */
+export const RETAINED_EPOCHS = 120;
 
-/** `retry_after_ms` of tokens that can never be granted. */
-export const NEVER_MS = 4_294_967_295;
+/** Value of `retry_after_ms` for tokens that can never be granted. */
+export const NEVER_RETRY_AFTER_MS = 4_294_967_295;
 
-/** Unmet demand counts for this long: entries ask every 200 ms. */
-const UNMET_DEMAND_MS = 500;
+/** Time for which unmet demand is considered; entries renew it every 200 ms. */
+const UNMET_DEMAND_TTL_MS = 500;
 
-/** Rounding errors of sums up to 1e9 tokens stay below this. */
-const TOLERANCE_TOKENS = 1e-3;
+/** Upper limit of the rounding error in sums of up to 1e9 tokens. */
+const ROUNDING_TOLERANCE_TOKENS = 1e-3;
 
+/** Grant with unspent tokens. */
 interface IGrant {
   readonly id: number;
   readonly entry: IEntryProcess;
@@ -55,25 +59,30 @@
   tokens: number;
 }
 
+/** Wanted tokens that an entry did not get in its last exchange. */
 interface IUnmetDemand {
   readonly entry: IEntryProcess;
   readonly tokens: number;
   readonly atMs: number;
 }
 
-/** What an entry got. */
-export interface IGranted {
+/** Answer to the request of an entry. */
+export interface IGrantOutcome {
   readonly tokens: number;
   readonly epoch: number;
-  /** Time until the needed tokens are there at the refill rate; zero when the entry has them. */
+  /** Time until the needed tokens are available at the refill rate; zero when the entry has them. */
   readonly retryAfterMs: number;
 }
 
-/** Treats what is no finite amount as none; commands come from other processes. */
+/** Returns zero for a negative or non-finite amount, as commands come from other processes. */
 function normaliseTokens(tokens: number): number {
   return Number.isFinite(tokens) && tokens > 0 ? tokens : 0;
 }
 
+/**
+ * Keeps the bucket, the outstanding grants and the epoch limits of one client account. Times are
+ * milliseconds of logical time, so that all control members compute the same state.
+ */
 export class AccountLedger {
   private _rate = 0;
   private _burst = 0;
@@ -81,12 +90,12 @@
   private _level = 0;
   private _outstanding = 0;
   private _refilledAtMs: number;
-  /** In the order of issue, which is the order of expiry. */
+  /** By id, in the order of issue, which is the order of expiry. */
   private readonly _grants = new Map<number, IGrant>();
   private readonly _grantsByEntry = new Map<string, Map<number, IGrant>>();
-  private readonly _unmet = new Map<string, IUnmetDemand>();
-  /** Shadow levels by epoch modulo `EPOCHS_KEPT`. */
-  private readonly _shadows = new Float64Array(EPOCHS_KEPT);
+  private readonly _unmetDemands = new Map<string, IUnmetDemand>();
+  /** Limits of the retained epochs, by epoch modulo `RETAINED_EPOCHS`. */
+  private readonly _epochLimits = new Float64Array(RETAINED_EPOCHS);
 
   constructor(
     public readonly clientAccount: string,
@@ -116,19 +125,19 @@
     return (
       this._grants.size === 0 &&
       this._level >= this._burst &&
-      this._shadows.every((shadow) => shadow >= this._burst)
+      this._epochLimits.every((epochLimit) => epochLimit >= this._burst)
     );
   }
 
-  /** Sets the limits of a new client account, whose bucket is full. */
-  public fill(tokensPerSecond: number, burstTokens: number): void {
+  /** Sets the limits of a new client account and fills its bucket. */
+  public initialise(tokensPerSecond: number, burstTokens: number): void {
     this._rate = normaliseTokens(tokensPerSecond);
     this._burst = normaliseTokens(burstTokens);
     this._level = this._burst;
-    this._shadows.fill(this._burst);
+    this._epochLimits.fill(this._burst);
   }
 
-  /** Changes the limits; the refill up to now was at the old rate. */
+  /** Changes the limits after refilling at the old rate up to `timeMs`. */
   public setLimits(tokensPerSecond: number, burstTokens: number, timeMs: number): void {
     this.advance(timeMs);
     this._rate = normaliseTokens(tokensPerSecond);
@@ -138,58 +147,62 @@
   }
 
   /**
-   * Ends the grants of a deleted client account. The bucket stays and refills at the old limits, so
-   * that deleting and creating an account again gives no second burst.
+   * Stops granting tokens to a deleted client account. The bucket is kept and refills at the old limits,
+   * so that deleting an account and creating it again does not give a second burst.
    */
   public withdraw(timeMs: number): void {
     this.advance(timeMs);
     this._withdrawn = true;
   }
 
-  /** Refills up to a logical time and expires grants on the way. */
+  /** Refills the bucket up to a logical time and expires the grants due by then. */
   public advance(timeMs: number): void {
     for (const grant of this._grants.values()) {
       if (grant.expiresAtMs > timeMs) {
         break;
       }
       this._refill(grant.expiresAtMs);
-      this._spend(grant, grant.tokens);
+      this._spendTokens(grant, grant.tokens);
     }
     this._refill(timeMs);
   }
 
-  /** Settles a grant. Reports on expired grants or grants of another process change nothing. */
+  /** Settles spent and returned tokens of a grant. Ignores expired grants and those of other processes. */
   public report(entryId: string, grantId: number, spent: number, returned: number): void {
     const grant = this._grantsByEntry.get(entryId)?.get(grantId);
     if (grant === undefined) {
       return;
     }
-    this._spend(grant, Math.min(normaliseTokens(spent), grant.tokens));
-    this._return(grant, Math.min(normaliseTokens(returned), grant.tokens));
+    this._spendTokens(grant, Math.min(normaliseTokens(spent), grant.tokens));
+    this._returnTokens(grant, Math.min(normaliseTokens(returned), grant.tokens));
   }
 
-  /** Gives back tokens that were reported as spent on a grant of an epoch and were not used. */
+  /** Refunds tokens that were reported as spent on a grant of this epoch but were not used. */
   public refund(epoch: number, tokens: number): void {
-    const newest = this._newestEpoch;
-    if (!(epoch <= newest && epoch > newest - EPOCHS_KEPT)) {
+    const currentEpoch = this._currentEpoch;
+    if (!(epoch <= currentEpoch && epoch > currentEpoch - RETAINED_EPOCHS)) {
       return;
     }
     const refund = normaliseTokens(tokens);
-    const limit = this.limitRefund(epoch);
+    const limit = this.computeRefundLimit(epoch);
     this._level += Math.max(0, Math.min(refund, limit - this._level - this._outstanding));
-    for (let older = newest - EPOCHS_KEPT + 1; older < epoch; older += 1) {
-      const shadow = this._getShadow(older);
-      this._shadows[older % EPOCHS_KEPT] = Math.max(
-        shadow,
-        Math.min(shadow + refund, this._getShadow(epoch)),
+    for (
+      let earlierEpoch = currentEpoch - RETAINED_EPOCHS + 1;
+      earlierEpoch < epoch;
+      earlierEpoch += 1
+    ) {
+      const epochLimit = this._getEpochLimit(earlierEpoch);
+      this._epochLimits[earlierEpoch % RETAINED_EPOCHS] = Math.max(
+        epochLimit,
+        Math.min(epochLimit + refund, this._getEpochLimit(epoch)),
       );
     }
   }
 
   /**
-   * Grants an entry what it lacks of the wanted tokens, as far as they are there. When other entries
-   * lack tokens too, it gets an equal share, or more if that leaves them all that they lack. Whole
-   * tokens only, so that sums of grants are exact.
+   * Grants an entry the wanted tokens that it does not hold yet, as far as the level allows. While other
+   * entries have unmet demand too, it gets an equal share, or more if that leaves enough for all of
+   * their demand. Grants are whole tokens, so that their sums are exact.
    */
   public grant(
     entry: IEntryProcess,
@@ -197,31 +210,31 @@
     wanted: number,
     needed: number,
     timeMs: number,
-  ): IGranted {
+  ): IGrantOutcome {
     const entryId = buildEntryId(entry);
     const wantedTokens = normaliseTokens(wanted);
     const neededTokens = Math.min(normaliseTokens(needed), wantedTokens) || wantedTokens;
-    const isReachable = neededTokens <= this._burst && !this._withdrawn;
-    const target = isReachable ? wantedTokens : wantedTokens - neededTokens;
-    const limit = Math.min(Math.ceil(target), Math.floor(this._burst));
-    const missing = Math.max(0, limit - this._sumHeld(entryId));
-    // A command that names an account twice gets one grant.
+    const isSatisfiable = neededTokens <= this._burst && !this._withdrawn;
+    const requestedTokens = isSatisfiable ? wantedTokens : wantedTokens - neededTokens;
+    const heldLimit = Math.min(Math.ceil(requestedTokens), Math.floor(this._burst));
+    const missingTokens = Math.max(0, heldLimit - this._sumHeld(entryId));
+    // A command that names an account twice gets only one grant for it.
     const canGrant = !this._withdrawn && !this._grants.has(grantId);
     const share = canGrant ? this._computeShare(entryId, timeMs) : 0;
-    const tokens = Math.min(missing, share);
+    const tokens = Math.min(missingTokens, share);
     if (tokens > 0) {
-      this._issue(entry, entryId, grantId, tokens, timeMs);
+      this._issueGrant(entry, entryId, grantId, tokens, timeMs);
     }
-    this._unmet.delete(entryId);
-    if (missing > tokens) {
-      this._unmet.set(entryId, { entry, tokens: missing - tokens, atMs: timeMs });
+    this._unmetDemands.delete(entryId);
+    if (missingTokens > tokens) {
+      this._unmetDemands.set(entryId, { entry, tokens: missingTokens - tokens, atMs: timeMs });
     }
-    const lacking = neededTokens - this._sumHeld(entryId);
-    const retryAfterMs = isReachable ? this._estimateRefill(lacking) : NEVER_MS;
-    return { tokens, epoch: this._newestEpoch, retryAfterMs };
+    const stillNeeded = neededTokens - this._sumHeld(entryId);
+    const retryAfterMs = isSatisfiable ? this._estimateRefill(stillNeeded) : NEVER_RETRY_AFTER_MS;
+    return { tokens, epoch: this._currentEpoch, retryAfterMs };
   }
 
-  /** Describes the first broken invariant, for tests. */
+  /** Describes the first violated invariant, or returns undefined. For tests. */
   public findViolation(): string | undefined {
     const { _level: level, _outstanding: outstanding } = this;
     const total = level + outstanding;
@@ -230,26 +243,31 @@
       sum += grant.tokens;
     }
     if (!(level >= 0) || !(outstanding >= 0)) {
-      return `negative: level ${level}, outstanding ${outstanding}`;
+      return `level ${level} or outstanding ${outstanding} is negative or not a number`;
     }
-    if (Math.abs(sum - outstanding) > TOLERANCE_TOKENS) {
+    if (Math.abs(sum - outstanding) > ROUNDING_TOLERANCE_TOKENS) {
       return `outstanding ${outstanding}, but the grants add up to ${sum}`;
     }
-    if (total > Math.max(this._burst, outstanding) + TOLERANCE_TOKENS) {
+    if (total > Math.max(this._burst, outstanding) + ROUNDING_TOLERANCE_TOKENS) {
       return `level ${level} + outstanding ${outstanding} exceed the burst ${this._burst}`;
     }
-    for (let epoch = this._newestEpoch; epoch > this._newestEpoch - EPOCHS_KEPT; epoch -= 1) {
-      if (this._getShadow(epoch) < total - TOLERANCE_TOKENS) {
-        return `shadow ${this._getShadow(epoch)} of epoch ${epoch} is below ${total}`;
+    for (let epoch = this._currentEpoch; epoch > this._currentEpoch - RETAINED_EPOCHS; epoch -= 1) {
+      if (this._getEpochLimit(epoch) < total - ROUNDING_TOLERANCE_TOKENS) {
+        return `limit ${this._getEpochLimit(epoch)} of epoch ${epoch} is below the total ${total}`;
       }
     }
     return undefined;
   }
 
+  /** Limits of epochs that equal the burst are left out; `restore` fills them in. */
   public snapshot(): LedgerSnapshot {
     const shadows = [];
-    for (let epoch = this._newestEpoch - EPOCHS_KEPT + 1; epoch <= this._newestEpoch; epoch += 1) {
-      const level = this._getShadow(epoch);
+    for (
+      let epoch = this._currentEpoch - RETAINED_EPOCHS + 1;
+      epoch <= this._currentEpoch;
+      epoch += 1
+    ) {
+      const level = this._getEpochLimit(epoch);
       if (level !== this._burst) {
         shadows.push(create(ShadowLevelSchema, { epoch: BigInt(epoch), level }));
       }
@@ -272,7 +290,7 @@
       burstTokens: this._burst,
       outstanding: this._outstanding,
       withdrawn: this._withdrawn,
-      unmet: [...this._unmet.values()].map((demand) =>
+      unmet: [...this._unmetDemands.values()].map((demand) =>
         create(UnmetDemandSchema, {
           ...demand.entry,
           tokens: demand.tokens,
@@ -282,19 +300,19 @@
     });
   }
 
-  /** Restores into a new ledger. */
+  /** Restores a snapshot; the ledger must be new. */
   public restore(snapshot: LedgerSnapshot): void {
     this._refilledAtMs = Number(snapshot.refilledAtMs);
-    this.fill(snapshot.tokensPerSecond, snapshot.burstTokens);
+    this.initialise(snapshot.tokensPerSecond, snapshot.burstTokens);
     this._level = snapshot.level;
     this._outstanding = snapshot.outstanding;
     this._withdrawn = snapshot.withdrawn;
     for (const shadow of snapshot.shadows) {
-      this._shadows[Number(shadow.epoch) % EPOCHS_KEPT] = shadow.level;
+      this._epochLimits[Number(shadow.epoch) % RETAINED_EPOCHS] = shadow.level;
     }
     for (const saved of snapshot.grants) {
       const { instance, incarnation, tokens } = saved;
-      this._insert(buildEntryId(saved), {
+      this._insertGrant(buildEntryId(saved), {
         id: Number(saved.grantId),
         entry: { instance, incarnation },
         tokens,
@@ -304,33 +322,36 @@
     }
     for (const { instance, incarnation, tokens, atMs } of snapshot.unmet) {
       const entry = { instance, incarnation };
-      this._unmet.set(buildEntryId(entry), { entry, tokens, atMs: Number(atMs) });
+      this._unmetDemands.set(buildEntryId(entry), { entry, tokens, atMs: Number(atMs) });
     }
   }
 
-  /** Highest P that a refund for a grant of this epoch may lead to. */
-  protected limitRefund(epoch: number): number {
+  /** Highest level + outstanding that a refund for a grant of this epoch may lead to. */
+  protected computeRefundLimit(epoch: number): number {
     TEST_ONLY: if (isBroken('plain-refunds')) return this._ceiling;
-    return Math.min(this._getShadow(epoch), this._ceiling);
+    return Math.min(this._getEpochLimit(epoch), this._ceiling);
   }
 
   /** Level up to which the bucket refills: outstanding grants count against the burst. */
-  protected limitLevel(): number {
+  protected computeLevelLimit(): number {
     return Math.max(0, this._burst - this._outstanding);
   }
 
-  /** Highest P at present: the burst, but for tokens granted before it was lowered. */
+  /**
+   * Upper limit of level + outstanding: the burst, or the outstanding tokens if they exceed a burst that
+   * was lowered.
+   */
   private get _ceiling(): number {
     return Math.max(this._burst, this._outstanding);
   }
 
-  /** Epochs are numbered so that the oldest one kept is never negative. */
-  private get _newestEpoch(): number {
-    return EPOCHS_KEPT + Math.floor(this._refilledAtMs / EPOCH_MS);
+  /** Epochs are numbered so that the oldest retained one is never negative. */
+  private get _currentEpoch(): number {
+    return RETAINED_EPOCHS + Math.floor(this._refilledAtMs / EPOCH_MS);
   }
 
-  private _getShadow(epoch: number): number {
-    return this._shadows[epoch % EPOCHS_KEPT] ?? 0;
+  private _getEpochLimit(epoch: number): number {
+    return this._epochLimits[epoch % RETAINED_EPOCHS] ?? 0;
   }
 
   private _refill(timeMs: number): void {
@@ -338,71 +359,75 @@
       return;
     }
     const refill = (this._rate * (timeMs - this._refilledAtMs)) / EPOCH_MS;
-    const limit = this.limitLevel();
+    const limit = this.computeLevelLimit();
     this._level = Math.min(this._level + refill, limit);
-    const { _shadows: shadows, _burst: burst, _ceiling: ceiling } = this;
-    for (let slot = 0; slot < EPOCHS_KEPT; slot += 1) {
-      const shadow = shadows[slot] ?? 0;
-      shadows[slot] = Math.min(ceiling, Math.max(shadow, Math.min(shadow + refill, burst)));
+    const { _epochLimits: epochLimits, _burst: burst, _ceiling: ceiling } = this;
+    for (let slot = 0; slot < RETAINED_EPOCHS; slot += 1) {
+      const epochLimit = epochLimits[slot] ?? 0;
+      epochLimits[slot] = Math.min(
+        ceiling,
+        Math.max(epochLimit, Math.min(epochLimit + refill, burst)),
+      );
     }
-    this._openEpochs(timeMs);
+    this._startEpochs(timeMs);
   }
 
-  /** Starts the shadows of the epochs that began since the last refill. */
-  private _openEpochs(timeMs: number): void {
-    const previous = this._newestEpoch;
+  /** Sets the limits of the epochs that began since the last refill. */
+  private _startEpochs(timeMs: number): void {
+    const previous = this._currentEpoch;
     this._refilledAtMs = timeMs;
-    const first = Math.max(previous + 1, this._newestEpoch - EPOCHS_KEPT + 1);
-    for (let epoch = first; epoch <= this._newestEpoch; epoch += 1) {
-      this._shadows[epoch % EPOCHS_KEPT] = this._ceiling;
+    const first = Math.max(previous + 1, this._currentEpoch - RETAINED_EPOCHS + 1);
+    for (let epoch = first; epoch <= this._currentEpoch; epoch += 1) {
+      this._epochLimits[epoch % RETAINED_EPOCHS] = this._ceiling;
     }
   }
 
-  /** Cuts the level and the shadows to a burst that was lowered. */
+  /** Cuts the level and the epoch limits to a burst that was lowered. */
   private _clampToBurst(): void {
     const ceiling = this._ceiling;
-    const shadows = this._shadows;
-    this._level = Math.min(this._level, this.limitLevel());
-    for (let slot = 0; slot < EPOCHS_KEPT; slot += 1) {
-      shadows[slot] = Math.min(shadows[slot] ?? 0, ceiling);
+    const epochLimits = this._epochLimits;
+    this._level = Math.min(this._level, this.computeLevelLimit());
+    for (let slot = 0; slot < RETAINED_EPOCHS; slot += 1) {
+      epochLimits[slot] = Math.min(epochLimits[slot] ?? 0, ceiling);
     }
   }
 
-  private _spend(grant: IGrant, tokens: number): void {
+  private _spendTokens(grant: IGrant, tokens: number): void {
     if (tokens > 0) {
-      const shadows = this._shadows;
-      for (let slot = 0; slot < EPOCHS_KEPT; slot += 1) {
-        shadows[slot] = Math.max(0, (shadows[slot] ?? 0) - tokens);
+      const epochLimits = this._epochLimits;
+      for (let slot = 0; slot < RETAINED_EPOCHS; slot += 1) {
+        epochLimits[slot] = Math.max(0, (epochLimits[slot] ?? 0) - tokens);
       }
     }
-    this._takeBack(grant, tokens);
+    this._decrementGrant(grant, tokens);
   }
 
-  private _return(grant: IGrant, tokens: number): void {
-    this._takeBack(grant, tokens);
-    this._level += Math.max(0, Math.min(tokens, this.limitLevel() - this._level));
+  private _returnTokens(grant: IGrant, tokens: number): void {
+    this._decrementGrant(grant, tokens);
+    this._level += Math.max(0, Math.min(tokens, this.computeLevelLimit() - this._level));
   }
 
-  private _takeBack(grant: IGrant, tokens: number): void {
+  /** Removes spent or returned tokens from a grant, and the grant when none are left. */
+  private _decrementGrant(grant: IGrant, tokens: number): void {
     grant.tokens -= tokens;
     this._outstanding = Math.max(0, this._outstanding - tokens);
     if (grant.tokens > 0) {
       return;
     }
     const entryId = buildEntryId(grant.entry);
-    const ofEntry = this._grantsByEntry.get(entryId);
+    const entryGrants = this._grantsByEntry.get(entryId);
     this._grants.delete(grant.id);
-    ofEntry?.delete(grant.id);
-    if (ofEntry?.size === 0) {
+    entryGrants?.delete(grant.id);
+    if (entryGrants?.size === 0) {
       this._grantsByEntry.delete(entryId);
     }
     if (this._grants.size === 0) {
-      // Ends the rounding errors of the running sum.
+      // Discards the rounding errors of the running sum.
       this._outstanding = 0;
     }
   }
 
-  private _issue(
+  private _issueGrant(
     entry: IEntryProcess,
     entryId: string,
     id: number,
@@ -412,13 +437,13 @@
     this._level = Math.max(0, this._level - tokens);
     this._outstanding += tokens;
     const expiresAtMs = timeMs + GRANT_EXPIRY_MS;
-    this._insert(entryId, { id, entry, expiresAtMs, epoch: this._newestEpoch, tokens });
+    this._insertGrant(entryId, { id, entry, expiresAtMs, epoch: this._currentEpoch, tokens });
   }
 
-  private _insert(entryId: string, grant: IGrant): void {
-    const ofEntry = this._grantsByEntry.get(entryId) ?? new Map<number, IGrant>();
-    this._grantsByEntry.set(entryId, ofEntry);
-    ofEntry.set(grant.id, grant);
+  private _insertGrant(entryId: string, grant: IGrant): void {
+    const entryGrants = this._grantsByEntry.get(entryId) ?? new Map<number, IGrant>();
+    this._grantsByEntry.set(entryId, entryGrants);
+    entryGrants.set(grant.id, grant);
     this._grants.set(grant.id, grant);
   }
 
@@ -430,29 +455,30 @@
     return sum;
   }
 
-  /** Whole tokens that the entry may take now. */
+  /** Whole tokens that the entry may get now. */
   private _computeShare(entryId: string, timeMs: number): number {
-    let lackingElsewhere = 0;
+    let unmetElsewhere = 0;
     let entries = 1;
-    for (const [other, demand] of this._unmet) {
-      if (timeMs - demand.atMs > UNMET_DEMAND_MS) {
-        this._unmet.delete(other);
+    for (const [other, demand] of this._unmetDemands) {
+      if (timeMs - demand.atMs > UNMET_DEMAND_TTL_MS) {
+        this._unmetDemands.delete(other);
       } else if (other !== entryId) {
-        lackingElsewhere += demand.tokens;
+        unmetElsewhere += demand.tokens;
         entries += 1;
       }
     }
-    return Math.floor(Math.max(this._level - lackingElsewhere, this._level / entries));
+    return Math.floor(Math.max(this._level - unmetElsewhere, this._level / entries));
   }
 
-  private _estimateRefill(lacking: number): number {
-    if (lacking <= 0) {
+  /** Milliseconds until the level reaches the needed tokens. */
+  private _estimateRefill(neededTokens: number): number {
+    if (neededTokens <= 0) {
       return 0;
     }
     if (this._rate === 0) {
-      return NEVER_MS;
+      return NEVER_RETRY_AFTER_MS;
     }
-    const waitMs = Math.ceil(((lacking - this._level) * EPOCH_MS) / this._rate);
-    return Math.min(NEVER_MS - 1, Math.max(1, waitMs));
+    const waitMs = Math.ceil(((neededTokens - this._level) * EPOCH_MS) / this._rate);
+    return Math.min(NEVER_RETRY_AFTER_MS - 1, Math.max(1, waitMs));
   }
 }
--- a/src/state/AdmissionBound.ts
+++ b/src/state/AdmissionBound.ts
@@ -1,13 +1,13 @@
-/** Check of the guarantee on rates and bursts, for tests of the ledger and of the wallet. */
+/** Checks the guarantee on rates and bursts in tests of the ledger and of the wallet. */
 
-/** Tokens finally used by one request, at the instant of its admission. */
+/** Tokens finally used by one request, counted at the instant of its admission. */
 export interface IAdmission {
   readonly atMs: number;
-  /** Reserved tokens, less what a settlement found unused. */
+  /** Reserved tokens, less those that the settlement found unused. */
   readonly usedTokens: number;
-  /** Tokens that the rates of the time have added from the start up to this instant. */
+  /** Refill from the start up to this instant, at the rates in force. */
   readonly refilledTokens: number;
-  /** Burst at this instant, or tokens outstanding when it was lowered below them. */
+  /** Burst at this instant, or the outstanding tokens if the burst was lowered below them. */
   readonly burstTokens: number;
 }
 
@@ -18,14 +18,14 @@
 export function measureExcess(admissions: readonly IAdmission[]): number {
   const ordered = [...admissions].sort((left, right) => left.atMs - right.atMs);
   let usedBefore = 0;
-  let worst = -Infinity;
-  // Largest (refill - tokens used before - burst) over all starts up to now.
-  let best = -Infinity;
+  let maxExcess = -Infinity;
+  // Largest (refill - tokens used before - burst) over all admissions so far, as the start of an interval.
+  let maxStartTerm = -Infinity;
   for (const admission of ordered) {
     const { refilledTokens, burstTokens, usedTokens } = admission;
-    best = Math.max(best, refilledTokens - usedBefore - burstTokens);
+    maxStartTerm = Math.max(maxStartTerm, refilledTokens - usedBefore - burstTokens);
     usedBefore += usedTokens;
-    worst = Math.max(worst, usedBefore - refilledTokens + best);
+    maxExcess = Math.max(maxExcess, usedBefore - refilledTokens + maxStartTerm);
   }
-  return worst;
+  return maxExcess;
 }
--- a/src/state/Changes.test.ts
+++ b/src/state/Changes.test.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import { ChangeSchema, type Change } from '../gen/redwingwharf/v1/state_pb.js';
-import { Changes, CHANGES_KEPT, digestChange } from './Changes.js';
+import { Changes, RETAINED_CHANGES, digestChange } from './Changes.js';
 
 function buildChange(operationId: string, version: number, value = 'v'): Change {
   return create(ChangeSchema, {
@@ -13,7 +13,7 @@
 }
 
 describe('Changes', () => {
-  it('answers a resend from the record, so that a lost answer does not look like a conflict', () => {
+  it('answers a resend with the recorded result, so that a lost answer causes no conflict', () => {
     const changes = new Changes();
     changes.accept(buildChange('op-1', 1), 10);
     changes.accept(buildChange('op-2', 2), 11);
@@ -25,7 +25,7 @@
     expect(changes.version).toBe(2);
   });
 
-  it('accepts one of two operators who race under the same version, and names both contents', () => {
+  it('accepts one of two concurrent changes with the same version and returns both digests', () => {
     const changes = new Changes();
     const winner = buildChange('op-1', 1);
     const loser = buildChange('op-2', 1, 'w');
@@ -40,7 +40,7 @@
     });
   });
 
-  it('refuses an operation id with other content instead of reporting success', () => {
+  it('refuses a reused operation id with other content instead of reporting success', () => {
     const changes = new Changes();
     changes.accept(buildChange('op-1', 1), 10);
     const outcome = changes.accept(buildChange('op-1', 2, 'w'), 11).outcome;
@@ -53,12 +53,12 @@
     expect(outcome).toMatchObject({ case: 'conflict', value: { currentVersion: 0n } });
   });
 
-  it('keeps the last changes only, and refuses the resend of a forgotten one', () => {
+  it('retains the last changes only, and refuses the resend of an evicted one', () => {
     const changes = new Changes();
-    for (let version = 1; version <= CHANGES_KEPT + 1; version += 1) {
+    for (let version = 1; version <= RETAINED_CHANGES + 1; version += 1) {
       changes.accept(buildChange(`op-${version}`, version), version);
     }
-    expect(changes.snapshot()).toHaveLength(CHANGES_KEPT);
+    expect(changes.snapshot()).toHaveLength(RETAINED_CHANGES);
     expect(changes.accept(buildChange('op-1', 1), 20_000).outcome.case).toBe('conflict');
     expect(changes.accept(buildChange('op-2', 2), 20_000).outcome.case).toBe('accepted');
   });
--- a/src/state/Changes.ts
+++ b/src/state/Changes.ts
@@ -1,4 +1,4 @@
-/** Acceptance of operators' changes: compare-and-set by version, with recognition of resends. */
+/** Accepts operators' changes by compare-and-set on the version, and recognises resends. */
 import { isBroken } from '../common/TestSwitches.js';
 import { create, toBinary } from '@bufbuild/protobuf';
 import { digestSha256, hasSameBytes } from '../common/Hashes.js';
@@ -11,35 +11,35 @@
   type ChangeResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Accepted changes kept to answer resends and to name the holder of a version. */
-export const CHANGES_KEPT = 10_000;
+/** Accepted changes that are retained to answer resends and to name the change that took a version. */
+export const RETAINED_CHANGES = 10_000;
 
 /** Digest of what a change does: version, operator and items, without the operation id. */
 export function digestChange(change: Change): Uint8Array {
   return digestSha256(toBinary(ChangeSchema, { ...change, operationId: '' }));
 }
 
-/** The current version and the last accepted changes. */
+/** Holds the current version and the records of the last accepted changes. */
 export class Changes {
   private _version = 0n;
   private _byVersion = new Map<bigint, ChangeRecord>();
-  private _byOperation = new Map<string, ChangeRecord>();
+  private _byOperationId = new Map<string, ChangeRecord>();
 
   public get version(): number {
     return Number(this._version);
   }
 
   /**
-   * Decides on a change. It is accepted if and only if its version follows the current one. A resend
-   * (same operation id and digest) gets the recorded result.
+   * Accepts a change if and only if its version is the next one. A resend (same operation id and digest)
+   * gets the recorded result; everything else gets a conflict.
    */
   public accept(change: Change, index: number): ChangeResult {
     const digest = digestChange(change);
-    const known = this._byOperation.get(change.operationId);
-    if (known !== undefined) {
-      return hasSameBytes(known.digest, digest)
-        ? this._buildAccepted(known, true)
-        : this._buildConflict(known, digest);
+    const recorded = this._byOperationId.get(change.operationId);
+    if (recorded !== undefined) {
+      return hasSameBytes(recorded.digest, digest)
+        ? this._buildAccepted(recorded, true)
+        : this._buildConflict(recorded, digest);
     }
     TEST_ONLY: if (isBroken('version-check')) change = { ...change, version: this._version + 1n };
     if (change.version !== this._version + 1n) {
@@ -56,14 +56,14 @@
     return this._buildAccepted(record, false);
   }
 
-  /** The records in the order of their versions. */
+  /** Returns the records in the order of their versions. */
   public snapshot(): ChangeRecord[] {
     return [...this._byVersion.values()];
   }
 
   public restore(version: bigint, records: readonly ChangeRecord[]): void {
     this._byVersion = new Map();
-    this._byOperation = new Map();
+    this._byOperationId = new Map();
     for (const record of records) {
       this._append(record);
     }
@@ -73,14 +73,14 @@
   private _append(record: ChangeRecord): void {
     this._version = record.version;
     this._byVersion.set(record.version, record);
-    // Without an id a resend can't be told from another operator's change.
+    // Without an operation id, a resend can't be distinguished from another operator's change.
     if (record.operationId !== '') {
-      this._byOperation.set(record.operationId, record);
+      this._byOperationId.set(record.operationId, record);
     }
-    const old = this._byVersion.get(record.version - BigInt(CHANGES_KEPT));
-    if (old !== undefined) {
-      this._byVersion.delete(old.version);
-      this._byOperation.delete(old.operationId);
+    const evicted = this._byVersion.get(record.version - BigInt(RETAINED_CHANGES));
+    if (evicted !== undefined) {
+      this._byVersion.delete(evicted.version);
+      this._byOperationId.delete(evicted.operationId);
     }
   }
 
@@ -92,11 +92,11 @@
   }
 
   private _buildConflict(takenBy: ChangeRecord | undefined, yourDigest: Uint8Array): ChangeResult {
-    const holder = takenBy === undefined ? {} : { takenBy };
+    const conflicting = takenBy === undefined ? {} : { takenBy };
     return create(ChangeResultSchema, {
       outcome: {
         case: 'conflict',
-        value: { currentVersion: this._version, yourDigest, ...holder },
+        value: { currentVersion: this._version, yourDigest, ...conflicting },
       },
     });
   }
--- a/src/state/Claims.test.ts
+++ b/src/state/Claims.test.ts
@@ -8,7 +8,7 @@
   type ClaimResult,
   type SettleClaimCommand,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { CLAIM_KEPT_MS, Claims, MAX_BODY_BYTES } from './Claims.js';
+import { CLAIM_RETENTION_MS, Claims, MAX_BODY_BYTES } from './Claims.js';
 
 interface IClaimOptions {
   readonly key?: string;
@@ -48,14 +48,14 @@
     expect(second.binding?.target).toBe('t1');
   });
 
-  it('grants the same command again after a lost answer, but not with another binding', () => {
+  it('grants a resent command again after a lost answer, but not with another binding', () => {
     const claims = new Claims();
     claims.claim(buildClaim('r1'), 11, 0);
     expect(claims.claim(buildClaim('r1'), 12, 0).state).toBe(ClaimState.GRANTED);
     expect(claims.claim(buildClaim('r1', { target: 't2' }), 13, 0).state).toBe(ClaimState.BOUND);
   });
 
-  it('binds again only for the current attempt, so that two proofs give one dispatch', () => {
+  it('rebinds only for the current attempt, so that two "not run" proofs cause only one dispatch', () => {
     const claims = new Claims();
     claims.claim(buildClaim('r1'), 11, 0);
     const rebind = buildClaim('r2', { target: 't2', replaces: 1 });
@@ -66,7 +66,7 @@
     expect(claims.claim(rebind, 15, 0)).toMatchObject({ state: ClaimState.GRANTED, attempt: 2 });
   });
 
-  it('never binds a settled, unknown or forgotten claim again', () => {
+  it('never rebinds a settled, unknown or expired claim', () => {
     const claims = new Claims();
     const settled = claims.claim(buildClaim('r1', { key: 's' }), 1, 0);
     const unknown = claims.claim(buildClaim('r2', { key: 'u' }), 2, 0);
@@ -78,7 +78,7 @@
     expect(states).toEqual([ClaimState.SETTLED, ClaimState.UNKNOWN, ClaimState.UNKNOWN]);
   });
 
-  it('refuses another body under the same key, and does not show it the recorded answer', () => {
+  it('refuses another body with the same idempotency key and withholds the recorded answer', () => {
     const claims = new Claims();
     claims.settle(buildAnswer(claims.claim(buildClaim('r1'), 1, 0), 200), 0);
     const result = claims.claim(buildClaim('r2', { body: 2 }), 2, 0);
@@ -86,7 +86,7 @@
     expect(result.answer).toBeUndefined();
   });
 
-  it('makes each request without an idempotency key its own claim', () => {
+  it('creates a claim for each request without an idempotency key', () => {
     const claims = new Claims();
     expect(claims.claim(buildClaim('r1', { key: '' }), 1, 0).state).toBe(ClaimState.GRANTED);
     expect(claims.claim(buildClaim('r2', { key: '' }), 2, 0).state).toBe(ClaimState.GRANTED);
@@ -119,34 +119,34 @@
     expect(result).toMatchObject({ recorded: false, state: ClaimState.BOUND });
   });
 
-  it('refuses new claims when the table is full, and forgets none before its time', () => {
-    const claims = new Claims({ claims: 2, bodiesBytes: 100 });
+  it('refuses new claims while the table is full, and removes none before it expires', () => {
+    const claims = new Claims({ maxClaims: 2, maxTotalBodyBytes: 100 });
     claims.claim(buildClaim('r1', { key: 'a' }), 1, 0);
     claims.claim(buildClaim('r2', { key: 'b' }), 2, 10);
     const third = buildClaim('r3', { key: 'c' });
-    claims.compact(CLAIM_KEPT_MS - 1);
-    expect(claims.claim(third, 3, CLAIM_KEPT_MS - 1).state).toBe(ClaimState.TABLE_FULL);
-    claims.compact(CLAIM_KEPT_MS);
-    expect(claims.claim(third, 4, CLAIM_KEPT_MS).state).toBe(ClaimState.GRANTED);
+    claims.compact(CLAIM_RETENTION_MS - 1);
+    expect(claims.claim(third, 3, CLAIM_RETENTION_MS - 1).state).toBe(ClaimState.TABLE_FULL);
+    claims.compact(CLAIM_RETENTION_MS);
+    expect(claims.claim(third, 4, CLAIM_RETENTION_MS).state).toBe(ClaimState.GRANTED);
   });
 
-  it('drops the oldest bodies beyond the limit and marks them, but keeps the outcome', () => {
-    const claims = new Claims({ claims: 10, bodiesBytes: 100 });
+  it('evicts the oldest bodies beyond the limit and marks them omitted, but keeps the outcome', () => {
+    const claims = new Claims({ maxClaims: 10, maxTotalBodyBytes: 100 });
     for (const [index, key] of ['a', 'b', 'c'].entries()) {
       const claim = claims.claim(buildClaim(key, { key }), index + 1, 0);
       claims.settle(buildAnswer(claim, 200, 40), 0);
     }
-    expect(claims.bodiesBytes).toBe(80);
+    expect(claims.totalBodyBytes).toBe(80);
     const oldest = claims.claim(buildClaim('r', { key: 'a' }), 9, 0);
     expect(oldest).toMatchObject({ state: ClaimState.SETTLED, answer: { bodyOmitted: true } });
     expect(claims.claim(buildClaim('r', { key: 'b' }), 9, 0).answer?.body).toHaveLength(40);
   });
 
-  it('does not keep a body above the limit for one answer', () => {
+  it('does not record a body above the limit for a single answer', () => {
     const claims = new Claims();
     const claim = claims.claim(buildClaim('r1'), 1, 0);
     const result = claims.settle(buildAnswer(claim, 200, MAX_BODY_BYTES + 1), 0);
     expect(result.answer).toMatchObject({ status: 200, bodyOmitted: true });
-    expect(claims.bodiesBytes).toBe(0);
+    expect(claims.totalBodyBytes).toBe(0);
   });
 });
--- a/src/state/Claims.ts
+++ b/src/state/Claims.ts
@@ -1,5 +1,5 @@
 /**
- * Claims of non-repeatable calls (design 3.5). A claim is committed before its call is dispatched, and
+ * Claims for non-repeatable calls (design 3.5). A claim is committed before its call is dispatched, and
  * it is bound to one sidecar at a time, so that the call runs at most once.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
@@ -21,38 +21,38 @@
   type SettleClaimResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Logical time for which a claim is kept after its last change. */
-export const CLAIM_KEPT_MS = 24 * 60 * 60 * 1000;
+/** Logical time for which a claim is retained after its last change. */
+export const CLAIM_RETENTION_MS = 24 * 60 * 60 * 1000;
 
-/** A full table refuses new claims; it never forgets one early. */
+/** Capacity of the table. A full table refuses new claims rather than remove one before it expires. */
 export const MAX_CLAIMS = 100_000;
 
-/** Larger bodies are not kept. */
+/** Largest answer body that is recorded. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** All recorded bodies together. */
-export const MAX_BODIES_BYTES = 32 * 1024 * 1024;
+/** Limit for all recorded answer bodies together. */
+export const MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024;
 
-/** Limits of one table; tests use smaller ones. */
+/** Limits of one table; tests use lower ones. */
 export interface IClaimLimits {
-  readonly claims: number;
-  readonly bodiesBytes: number;
+  readonly maxClaims: number;
+  readonly maxTotalBodyBytes: number;
 }
 
-/** A claim in the table. Encoded claims take less memory than messages and make snapshots cheap. */
-interface IRecord {
+/** Claim in the table. It is kept encoded, which takes less memory and makes snapshots cheap. */
+interface IClaimRecord {
   readonly id: bigint;
   readonly tableKey: string;
   updatedAtMs: number;
   bodyBytes: number;
-  /** A state snapshot with this claim only. Stored states are BOUND, SETTLED and UNKNOWN. */
+  /** Encoded state snapshot with only this claim, in the state BOUND, SETTLED or UNKNOWN. */
   encoded: Uint8Array;
 }
 
-/** Without an idempotency key each request is its own claim. */
+/** Without an idempotency key, each request has its own claim. */
 function buildTableKey(key: ClaimKey, requestId: string): string {
-  const own = key.idempotencyKey === '' ? { requestId } : { key: key.idempotencyKey };
-  return JSON.stringify([key.clientAccount, key.service, own]);
+  const identity = key.idempotencyKey === '' ? { requestId } : { key: key.idempotencyKey };
+  return JSON.stringify([key.clientAccount, key.service, identity]);
 }
 
 function hasSameBinding(left: ClaimBinding, right: ClaimBinding | undefined): boolean {
@@ -72,7 +72,7 @@
   return toBinary(StateSnapshotSchema, create(StateSnapshotSchema, { claims: [claim] }));
 }
 
-function decodeClaim(record: IRecord): ClaimSnapshot | undefined {
+function decodeClaim(record: IClaimRecord): ClaimSnapshot | undefined {
   return fromBinary(StateSnapshotSchema, record.encoded).claims[0];
 }
 
@@ -81,8 +81,8 @@
   return create(AnswerSchema, { status, headers, bodyOmitted: true });
 }
 
-/** True when the command repeats the outcome on record. */
-function isRecorded(claim: ClaimSnapshot, command: SettleClaimCommand): boolean {
+/** True when the command repeats the recorded outcome. */
+function isRecordedOutcome(claim: ClaimSnapshot, command: SettleClaimCommand): boolean {
   return (
     command.attempt === claim.attempt &&
     !command.unknown &&
@@ -92,7 +92,7 @@
   );
 }
 
-/** The outcome that a settlement brings, if any. */
+/** Returns the outcome that a settlement reports, or undefined when it has none. */
 function decideOutcome(
   command: SettleClaimCommand,
 ): { readonly state: ClaimState; readonly answer?: Answer } | undefined {
@@ -107,58 +107,65 @@
   return { state: ClaimState.SETTLED, answer: isTooLarge ? copyWithoutBody(answer) : answer };
 }
 
-function buildSettled(claim: ClaimSnapshot, recorded: boolean): SettleClaimResult {
+function buildSettleResult(claim: ClaimSnapshot, recorded: boolean): SettleClaimResult {
   const answer = claim.answer === undefined ? {} : { answer: claim.answer };
   return create(SettleClaimResultSchema, { recorded, state: claim.state, ...answer });
 }
 
-function buildResult(claim: ClaimSnapshot, state: ClaimState): ClaimResult {
+function buildClaimResult(claim: ClaimSnapshot, state: ClaimState): ClaimResult {
   const { claimId, attempt, binding, answer } = claim;
-  // A caller with another body must not see the answer to the recorded one.
-  const isShown = answer !== undefined && state !== ClaimState.BODY_MISMATCH;
+  // A caller with another request body must not see the recorded answer.
+  const includesAnswer = answer !== undefined && state !== ClaimState.BODY_MISMATCH;
   return create(ClaimResultSchema, {
     state,
     claimId,
     attempt,
     ...(binding === undefined ? {} : { binding }),
-    ...(isShown ? { answer } : {}),
+    ...(includesAnswer ? { answer } : {}),
   });
 }
 
+/**
+ * Table of claims by idempotency key and by id. Binds each claim to one sidecar at a time, records the
+ * outcome, and limits the number of claims and the size of the recorded bodies.
+ */
 export class Claims {
-  /** In the order of their last change, so the first one expires first. */
-  private readonly _byKey = new Map<string, IRecord>();
-  private readonly _byId = new Map<bigint, IRecord>();
+  /** In the order of the last change, so that the first claim expires first. */
+  private readonly _byKey = new Map<string, IClaimRecord>();
+  private readonly _byId = new Map<bigint, IClaimRecord>();
   /** Claims with a recorded body, in the order in which they were settled. */
-  private readonly _withBody = new Set<IRecord>();
-  private _bodiesBytes = 0;
+  private readonly _recordsWithBody = new Set<IClaimRecord>();
+  private _totalBodyBytes = 0;
 
   constructor(
-    private readonly _limits: IClaimLimits = { claims: MAX_CLAIMS, bodiesBytes: MAX_BODIES_BYTES },
+    private readonly _limits: IClaimLimits = {
+      maxClaims: MAX_CLAIMS,
+      maxTotalBodyBytes: MAX_TOTAL_BODY_BYTES,
+    },
   ) {}
 
   public get size(): number {
     return this._byKey.size;
   }
 
-  public get bodiesBytes(): number {
-    return this._bodiesBytes;
+  public get totalBodyBytes(): number {
+    return this._totalBodyBytes;
   }
 
-  /** Answers what is on record, as `claim` does, without changing anything. */
+  /** Returns the recorded state of a claim without changing it, or undefined when there is none. */
   public get(key: ClaimKey, requestId: string): ClaimResult | undefined {
     const record = this._byKey.get(buildTableKey(key, requestId));
     const claim = record === undefined ? undefined : decodeClaim(record);
-    return claim === undefined ? undefined : buildResult(claim, claim.state);
+    return claim === undefined ? undefined : buildClaimResult(claim, claim.state);
   }
 
   /**
-   * Claims a call. Only with the result GRANTED may the caller dispatch it.
+   * Claims a call. The caller may dispatch it only if the result is GRANTED.
    *
-   * A bound claim is granted again in two cases: the command names the current attempt as proved "not
-   * run"; or it is the command that got the current attempt (same request, binding and replaced
-   * attempt), sent again after a lost answer. An entry dispatches a request only after an answer,
-   * so in the second case nothing was dispatched yet.
+   * A bound claim is granted again in two cases: the command replaces the current attempt, which is
+   * proved "not run"; or it is a resend, after a lost answer, of the command that was granted the current
+   * attempt (same request, binding and replaced attempt). An entry dispatches a request only after it
+   * received the answer, so in the second case nothing was dispatched yet.
    */
   public claim(command: ClaimCommand, index: number, timeMs: number): ClaimResult {
     const { key, binding, requestId, replacesAttempt } = command;
@@ -169,30 +176,30 @@
     const record = this._byKey.get(tableKey);
     const claim = record === undefined ? undefined : decodeClaim(record);
     if (record === undefined || claim === undefined) {
-      return this._open(tableKey, command, index, timeMs);
+      return this._createClaim(tableKey, command, index, timeMs);
     }
     if (!hasSameBytes(claim.bodyDigest, command.bodyDigest)) {
-      return buildResult(claim, ClaimState.BODY_MISMATCH);
+      return buildClaimResult(claim, ClaimState.BODY_MISMATCH);
     }
     if (claim.state !== ClaimState.BOUND) {
-      return buildResult(claim, claim.state);
+      return buildClaimResult(claim, claim.state);
     }
     if (replacesAttempt === claim.attempt) {
       const attempt = claim.attempt + 1;
       const rebound = { ...claim, binding, attempt, requestId };
       this._update(record, rebound, timeMs);
-      return buildResult(rebound, ClaimState.GRANTED);
+      return buildClaimResult(rebound, ClaimState.GRANTED);
     }
     const isResend =
       replacesAttempt + 1 === claim.attempt &&
       requestId === claim.requestId &&
       hasSameBinding(binding, claim.binding);
-    return buildResult(claim, isResend ? ClaimState.GRANTED : ClaimState.BOUND);
+    return buildClaimResult(claim, isResend ? ClaimState.GRANTED : ClaimState.BOUND);
   }
 
   /**
-   * Records the outcome of the current attempt. The first answer stays; "unknown" gives way to an
-   * answer, never the other way round.
+   * Records the outcome of the current attempt. The first answer is final; an answer replaces "unknown",
+   * but "unknown" never replaces an answer.
    */
   public settle(command: SettleClaimCommand, timeMs: number): SettleClaimResult {
     const record = this._byId.get(command.claimId);
@@ -201,31 +208,31 @@
       return create(SettleClaimResultSchema);
     }
     if (command.attempt !== claim.attempt || claim.answer !== undefined) {
-      return buildSettled(claim, isRecorded(claim, command));
+      return buildSettleResult(claim, isRecordedOutcome(claim, command));
     }
     const outcome = decideOutcome(command);
     if (outcome === undefined) {
-      return buildSettled(claim, false);
+      return buildSettleResult(claim, false);
     }
     const settled = { ...claim, ...outcome };
     this._update(record, settled, timeMs);
-    this._dropBodies();
-    return buildSettled(settled, true);
+    this._evictBodies();
+    return buildSettleResult(settled, true);
   }
 
-  /** Forgets claims that were not changed for `CLAIM_KEPT_MS`. */
+  /** Removes claims that were not changed for `CLAIM_RETENTION_MS`. */
   public compact(timeMs: number): void {
     for (const record of this._byKey.values()) {
-      if (record.updatedAtMs + CLAIM_KEPT_MS > timeMs) {
+      if (record.updatedAtMs + CLAIM_RETENTION_MS > timeMs) {
         return;
       }
       this._byKey.delete(record.tableKey);
       this._byId.delete(record.id);
-      this._countBody(record, 0);
+      this._setBodyBytes(record, 0);
     }
   }
 
-  /** Encoded state snapshots of one claim each; appended to an encoded snapshot they add to it. */
+  /** Returns an encoded state snapshot for each claim; appended to an encoded snapshot, they merge. */
   public snapshot(): Uint8Array[] {
     return [...this._byKey.values()].map((record) => record.encoded);
   }
@@ -233,8 +240,8 @@
   public restore(snapshots: readonly ClaimSnapshot[]): void {
     this._byKey.clear();
     this._byId.clear();
-    this._withBody.clear();
-    this._bodiesBytes = 0;
+    this._recordsWithBody.clear();
+    this._totalBodyBytes = 0;
     for (const claim of snapshots) {
       if (claim.key !== undefined) {
         this._insert(buildTableKey(claim.key, claim.requestId), claim);
@@ -242,17 +249,17 @@
     }
   }
 
-  private _open(
+  private _createClaim(
     tableKey: string,
     command: ClaimCommand,
     index: number,
     timeMs: number,
   ): ClaimResult {
     if (command.replacesAttempt !== 0) {
-      // The claim to be bound again was forgotten, and with it whether another attempt ran.
+      // The claim to be replaced has expired, so whether another attempt ran is no longer known.
       return create(ClaimResultSchema, { state: ClaimState.UNKNOWN });
     }
-    if (this._byKey.size >= this._limits.claims) {
+    if (this._byKey.size >= this._limits.maxClaims) {
       return create(ClaimResultSchema, { state: ClaimState.TABLE_FULL });
     }
     const { key, binding, bodyDigest, requestId } = command;
@@ -267,11 +274,11 @@
       ...(binding === undefined ? {} : { binding }),
     });
     this._insert(tableKey, claim);
-    return buildResult(claim, ClaimState.GRANTED);
+    return buildClaimResult(claim, ClaimState.GRANTED);
   }
 
   private _insert(tableKey: string, claim: ClaimSnapshot): void {
-    const record: IRecord = {
+    const record: IClaimRecord = {
       id: claim.claimId,
       tableKey,
       updatedAtMs: Number(claim.updatedAtMs),
@@ -280,39 +287,40 @@
     };
     this._byKey.set(tableKey, record);
     this._byId.set(record.id, record);
-    this._countBody(record, claim.answer?.body.length ?? 0);
+    this._setBodyBytes(record, claim.answer?.body.length ?? 0);
   }
 
   /** Stores a changed claim and moves it to the end of the order of expiry. */
-  private _update(record: IRecord, claim: ClaimSnapshot, timeMs: number): void {
+  private _update(record: IClaimRecord, claim: ClaimSnapshot, timeMs: number): void {
     record.updatedAtMs = timeMs;
     record.encoded = encodeClaim({ ...claim, updatedAtMs: BigInt(timeMs) });
     this._byKey.delete(record.tableKey);
     this._byKey.set(record.tableKey, record);
-    this._countBody(record, claim.answer?.body.length ?? 0);
+    this._setBodyBytes(record, claim.answer?.body.length ?? 0);
   }
 
-  private _countBody(record: IRecord, bytes: number): void {
-    this._bodiesBytes += bytes - record.bodyBytes;
+  /** Updates the size of a claim's recorded body and the total. */
+  private _setBodyBytes(record: IClaimRecord, bytes: number): void {
+    this._totalBodyBytes += bytes - record.bodyBytes;
     record.bodyBytes = bytes;
     if (bytes > 0) {
-      this._withBody.add(record);
+      this._recordsWithBody.add(record);
     } else {
-      this._withBody.delete(record);
+      this._recordsWithBody.delete(record);
     }
   }
 
-  /** Drops the oldest bodies until the rest is within the limit. */
-  private _dropBodies(): void {
-    for (const record of this._withBody) {
-      if (this._bodiesBytes <= this._limits.bodiesBytes) {
+  /** Evicts the bodies that were recorded first until the total is within the limit. */
+  private _evictBodies(): void {
+    for (const record of this._recordsWithBody) {
+      if (this._totalBodyBytes <= this._limits.maxTotalBodyBytes) {
         return;
       }
       const claim = decodeClaim(record);
       if (claim?.answer !== undefined) {
         record.encoded = encodeClaim({ ...claim, answer: copyWithoutBody(claim.answer) });
       }
-      this._countBody(record, 0);
+      this._setBodyBytes(record, 0);
     }
   }
 }
--- a/src/state/ControlState.bench.ts
+++ b/src/state/ControlState.bench.ts
@@ -1,4 +1,7 @@
-/** Cost of applying commands and memory of the state. Run with `npx vitest bench --run src/state`. */
+/**
+ * Measures the time to apply commands and the memory of the state. Run with
+ * `npx vitest bench --run src/state`.
+ */
 import { create, toBinary, type MessageInitShape } from '@bufbuild/protobuf';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -14,7 +17,7 @@
 const ITERATIONS = 3_000;
 
 setFlagsFromString('--expose_gc');
-const collect = runInNewContext('gc') as () => void;
+const collectGarbage = runInNewContext('gc') as () => void;
 
 let index = 0;
 let version = 0;
@@ -49,7 +52,7 @@
   return { case: 'change', value: change };
 }
 
-/** An exchange for some accounts; each reports the grant of the exchange before. */
+/** Builds an exchange for some accounts, each of which reports the entry's previous grant. */
 function buildSync(accounts: number): Body {
   sequence += 1;
   const entry = sequence % ENTRIES;
@@ -102,44 +105,44 @@
 }
 
 function measureHeap(): number {
-  // Array buffers freed by the first collection are counted until the second one.
-  collect();
-  collect();
+  // Array buffers that the first collection frees are still counted until the second one.
+  collectGarbage();
+  collectGarbage();
   const usage = process.memoryUsage();
   return usage.heapUsed + usage.external;
 }
 
-function reportMemory(name: string, count: number, before: number): void {
-  const bytes = Math.round((measureHeap() - before) / count);
+function reportMemory(name: string, count: number, heapBytesBefore: number): void {
+  const bytes = Math.round((measureHeap() - heapBytesBefore) / count);
   console.log(`memory per ${name}: ${bytes} bytes (${count} of them)`);
 }
 
 const state = new ControlState();
-const empty = measureHeap();
+const emptyHeapBytes = measureHeap();
 for (let account = 0; account < ACCOUNTS; account += 1) {
   apply(state, buildChange(account));
 }
-reportMemory('client account (item, change record, ledger)', ACCOUNTS, empty);
+reportMemory('client account (item, change record, ledger)', ACCOUNTS, emptyHeapBytes);
 
 const claimed = new ControlState();
-const beforeClaims = measureHeap();
+const heapBytesBeforeClaims = measureHeap();
 for (let count = 0; count < 20_000; count += 1) {
   apply(claimed, buildClaim());
 }
-reportMemory('bound claim', 20_000, beforeClaims);
-const beforeBodies = measureHeap();
+reportMemory('bound claim', 20_000, heapBytesBeforeClaims);
+const heapBytesBeforeAnswers = measureHeap();
 const firstClaim = index - 20_000 + 1;
 for (let count = 0; count < 20_000; count += 1) {
   apply(claimed, buildSettle(firstClaim + count));
 }
-reportMemory(`answer of ${BODY_BYTES} bytes`, 20_000, beforeBodies);
+reportMemory(`answer of ${BODY_BYTES} bytes`, 20_000, heapBytesBeforeAnswers);
 
 const startedAt = performance.now();
 const snapshotBytes = claimed.snapshot().length;
 const snapshotMs = Math.round(performance.now() - startedAt);
 console.log(`snapshot of 20000 settled claims: ${snapshotBytes} bytes, ${snapshotMs} ms`);
 
-/** Encodes the commands before the measurement and applies each once. */
+/** Benchmarks `apply` with commands encoded beforehand, each applied once. */
 function measureApply(name: string, build: () => Body): void {
   const pool = Array.from({ length: ITERATIONS + 1 }, () => encode(build()));
   let next = 0;
@@ -165,12 +168,12 @@
   });
   measureApply('sync_grants, 5 accounts', () => buildSync(5));
   measureApply('sync_grants, 100 accounts', () => buildSync(100));
-  const claimsFrom = index + 1;
+  const firstBenchClaim = index + 1;
   measureApply('claim', () => buildClaim());
-  let settled = claimsFrom - 1;
+  let settledClaim = firstBenchClaim - 1;
   measureApply('settle_claim', () => {
-    settled += 1;
-    return buildSettle(settled);
+    settledClaim += 1;
+    return buildSettle(settledClaim);
   });
   measureApply('load_slot', () => ({
     case: 'loadSlot',
--- a/src/state/ControlState.test.ts
+++ b/src/state/ControlState.test.ts
@@ -7,7 +7,7 @@
   CommandSchema,
   type CommandResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { ControlState, SYNC_KEPT_MS } from './ControlState.js';
+import { ControlState, SYNC_RETENTION_MS } from './ControlState.js';
 
 type Body = NonNullable<MessageInitShape<typeof CommandSchema>['body']>;
 
@@ -66,8 +66,8 @@
   }
 }
 
-/** Any command, often on the same few keys. */
-const bodies: fc.Arbitrary<Body> = fc.oneof(
+/** Commands of all kinds, on few keys so that they often refer to the same ones. */
+const commandBody: fc.Arbitrary<Body> = fc.oneof(
   fc
     .tuple(fc.nat(12), fc.nat(3), fc.constantFrom('lab', 'mill'))
     .map(([version, burst, id]) => buildAccountChange(version, burst * 333.3, id)),
@@ -104,17 +104,17 @@
 );
 
 describe('ControlState', () => {
-  it('goes on from a snapshot byte for byte, so that a restarted member never diverges', () => {
-    const step = fc.record({ body: bodies, afterMs: fc.oneof(fc.nat(300), fc.nat(40_000)) });
+  it('continues from a snapshot with identical bytes, so that a restarted member never diverges', () => {
+    const step = fc.record({ body: commandBody, afterMs: fc.oneof(fc.nat(300), fc.nat(40_000)) });
     const property = fc.property(
       fc.array(step, { maxLength: 120, size: 'max' }),
       fc.nat(120),
-      (steps, cut) => {
+      (steps, restoreAt) => {
         const original = new ControlState();
         let restored: ControlState | undefined;
         let timeMs = 0;
         for (const [position, { body, afterMs }] of steps.entries()) {
-          if (position === cut) {
+          if (position === restoreAt) {
             restored = new ControlState();
             restored.restore(original.snapshot());
           }
@@ -133,7 +133,7 @@
     fc.assert(property, { seed: SEED, numRuns: 300 });
   });
 
-  it('answers a repeated exchange from the record and ignores a late one', () => {
+  it('answers a repeated exchange with the recorded result and ignores a late one', () => {
     const applier = new Applier();
     applier.apply(0, buildAccountChange(1, 1_000));
     expect(applier.sync(0, 2, { wanted: 100 })).toBe(100);
@@ -143,15 +143,15 @@
     expect(applier.sync(50, 1, { incarnation: 2, wanted: 1_000 })).toBe(900);
   });
 
-  it('refunds once when an exchange is applied again after its record is gone', () => {
+  it('refunds only once when an exchange is applied again after its record expired', () => {
     const applier = new Applier();
     applier.apply(0, buildAccountChange(1, 100_000));
     applier.sync(0, 1, { wanted: 50_000 });
     applier.sync(500, 2, { wanted: 50_000, spentGrant: 2 });
-    // The bucket is not full when epoch 121 begins, so a refund for it has room.
+    // The bucket is not full when epoch 121 begins, so a refund for that epoch takes effect.
     applier.sync(2_000, 3, { wanted: 50_000, spentGrant: 3, refund: 121 });
     const saved = applier.state.snapshot();
-    const lateMs = SYNC_KEPT_MS + 2_000;
+    const lateMs = SYNC_RETENTION_MS + 2_000;
     const [late, idle] = [121, undefined].map((refund) => {
       const state = new ControlState();
       state.restore(saved);
@@ -162,7 +162,7 @@
     expect(late).toEqual(idle);
   });
 
-  it('never lets time go back, so that a leader with an old clock refills nothing twice', () => {
+  it('never moves logical time back, so that a leader whose clock is behind refills nothing twice', () => {
     const applier = new Applier();
     applier.apply(10_000, buildAccountChange(1, 1_000));
     applier.sync(10_000, 1, { wanted: 1_000 });
@@ -172,21 +172,23 @@
     expect(applier.sync(10_000, 3, { wanted: 1_000 })).toBe(0);
   });
 
-  it('treats bytes that are no command as one without effect, so that no member stops', () => {
+  it('treats undecodable bytes as a command without effect, so that no member stops', () => {
     const state = new ControlState();
     expect(state.apply(Uint8Array.of(255, 255, 255), 1)).toHaveLength(0);
     expect(state.revision).toBe(1);
   });
 
-  it('tells readers of changed items once for each accepted change, and after a restore', () => {
+  it('notifies listeners once for each accepted change and after a restore', () => {
     const applier = new Applier();
-    const seen: number[] = [];
-    applier.state.onItemsChange(({ revision, items }) => seen.push(revision, items.length));
+    const notifications: number[] = [];
+    applier.state.onItemsChange(({ revision, items }) =>
+      notifications.push(revision, items.length),
+    );
     applier.apply(0, buildAccountChange(1, 1_000));
     applier.apply(0, buildAccountChange(1, 1_000));
     applier.apply(0, buildAccountChange(1, 2_000));
     applier.state.restore(applier.state.snapshot());
-    expect(seen).toEqual([1, 1, 3, 1]);
+    expect(notifications).toEqual([1, 1, 3, 1]);
     expect(applier.state.version).toBe(1);
     expect(applier.state.listChangedSince(0).items).toHaveLength(1);
   });
--- a/src/state/ControlState.ts
+++ b/src/state/ControlState.ts
@@ -1,4 +1,4 @@
-/** The replicated control state: applies the commands of the log (design 3.2). */
+/** Replicated state machine of the control members: applies the commands of the log (design 3.2). */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { Emitter, type IEvent } from '../common/Lifecycle.js';
 import type { IStateMachine } from '../consensus/Types.js';
@@ -21,11 +21,11 @@
   type SyncGrantsResult,
   type SyncSnapshot,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { EPOCHS_KEPT, EPOCH_MS } from './AccountLedger.js';
+import { RETAINED_EPOCHS, EPOCH_MS } from './AccountLedger.js';
 import { Changes } from './Changes.js';
 import { Claims } from './Claims.js';
 import { buildEntryId } from './EntryProcess.js';
-import { Items, type IItemsSince } from './Items.js';
+import { Items, type IChangedItems } from './Items.js';
 import { Ledger } from './Ledger.js';
 import { LoadSlots } from './LoadSlots.js';
 
@@ -33,18 +33,18 @@
 const CLIENT_ACCOUNT_PREFIX = 'clientAccount/';
 
 /**
- * Logical time for which the last exchange of a silent entry process is kept. All refunds in that
- * exchange are older than the epochs kept by then, so applying it again would refund nothing.
+ * Logical time for which the last exchange of an entry process is retained. After that, all refunds in
+ * it are older than the retained epochs, so that applying it again would refund nothing.
  */
-export const SYNC_KEPT_MS = (EPOCHS_KEPT + 5) * EPOCH_MS;
+export const SYNC_RETENTION_MS = (RETAINED_EPOCHS + 5) * EPOCH_MS;
 
-/** Items that changed with one command, or all items after a restore. */
+/** Items that changed by one command, or all items after a restore. */
 export interface IItemsChange {
   readonly revision: number;
   readonly items: readonly Item[];
 }
 
-/** Bytes that don't decode make no command; all members treat them alike. */
+/** Returns undefined for bytes that do not decode; all members apply those as a command without effect. */
 function decodeCommand(bytes: Uint8Array): Command | undefined {
   try {
     return fromBinary(CommandSchema, bytes);
@@ -62,7 +62,8 @@
 }
 
 /**
- * State that is the same on all members that applied the same commands.
+ * Holds items, changes, ledgers, claims and load slots. It is deterministic: members that applied the
+ * same commands have the same state.
  *
  * @example
  * const state = new ControlState();
@@ -73,14 +74,14 @@
   private readonly _changes = new Changes();
   private readonly _claims = new Claims();
   private readonly _loadSlots = new LoadSlots();
-  /** Last exchange of each entry process, in the order of their time. */
+  /** Last exchange of each entry process, in the order of logical time. */
   private readonly _syncs = new Map<string, SyncSnapshot>();
-  private readonly _itemsChange = new Emitter<IItemsChange>();
+  private readonly _itemsChangeEmitter = new Emitter<IItemsChange>();
   private _timeMs = 0;
   private _revision = 0;
 
   /** Fires after a command that changed items, and after a restore. */
-  public readonly onItemsChange: IEvent<IItemsChange> = this._itemsChange.onFire;
+  public readonly onItemsChange: IEvent<IItemsChange> = this._itemsChangeEmitter.onFire;
 
   constructor(private readonly _ledger: Ledger = new Ledger()) {}
 
@@ -99,30 +100,33 @@
     return this._timeMs;
   }
 
-  /** The item, or undefined when it does not exist or was deleted. */
+  /** Returns the item, or undefined when it does not exist or was deleted. */
   public getItem(key: string): Item | undefined {
     return this._items.get(key);
   }
 
+  /** Lists the items whose key begins with the prefix. */
   public listItems(prefix: string): Item[] {
     return this._items.list(prefix);
   }
 
-  /** Deltas for a reader at a revision, or a full copy when it is too far behind. */
-  public listChangedSince(revision: number): IItemsSince {
+  /** Lists the changes for a reader at a revision, or a full copy when it is too far behind. */
+  public listChangedSince(revision: number): IChangedItems {
     return this._items.listChangedSince(revision);
   }
 
-  /** What is on record for a claim, without changing anything. */
+  /** Returns the recorded state of a claim without changing it, or undefined when there is none. */
   public getClaim(key: ClaimKey, requestId: string): ClaimResult | undefined {
     return this._claims.get(key, requestId);
   }
 
+  /** Applies an encoded command at a log index and returns the encoded result. */
   public apply(command: Uint8Array, index: number): Uint8Array {
     this._revision = index;
-    // Decoded byte fields share the buffer; a copy keeps what is stored from holding a whole batch.
+    // Decoded byte fields share the buffer. Without a copy, stored fields would retain a whole batch.
     const decoded = decodeCommand(new Uint8Array(command));
-    const result = decoded === undefined ? create(CommandResultSchema) : this._run(decoded, index);
+    const result =
+      decoded === undefined ? create(CommandResultSchema) : this._runCommand(decoded, index);
     return toBinary(CommandResultSchema, result);
   }
 
@@ -138,7 +142,7 @@
       loadSlots: this._loadSlots.snapshot(),
       syncs: [...this._syncs.values()],
     });
-    // Encoded messages that follow each other merge into one: repeated fields are joined.
+    // Concatenated encoded messages decode as one message with the repeated fields joined.
     const parts = [toBinary(StateSnapshotSchema, snapshot), ...this._claims.snapshot()];
     return new Uint8Array(Buffer.concat(parts));
   }
@@ -156,11 +160,11 @@
     for (const sync of saved.syncs) {
       this._syncs.set(buildEntryId(sync), sync);
     }
-    this._itemsChange.fire({ revision: this._revision, items: this.listItems('') });
+    this._itemsChangeEmitter.fire({ revision: this._revision, items: this.listItems('') });
   }
 
-  private _run(command: Command, index: number): CommandResult {
-    // Logical time never goes back, whatever a leader stamps.
+  private _runCommand(command: Command, index: number): CommandResult {
+    // Logical time never goes back, even if a leader's timestamp does.
     this._timeMs = Math.max(this._timeMs, Number(command.timeMs));
     this._items.compact();
     this._claims.compact(this._timeMs);
@@ -193,7 +197,7 @@
         this._applyLimits(item);
       });
       this._ledger.compact(this._timeMs);
-      this._itemsChange.fire({ revision: index, items });
+      this._itemsChangeEmitter.fire({ revision: index, items });
     }
     return result;
   }
@@ -211,12 +215,15 @@
     }
   }
 
-  /** A repeated sequence number gets the recorded result; a lower one is a late duplicate. */
+  /**
+   * Applies each exchange once. A repeated sequence number gets the recorded result; a lower one is a
+   * late duplicate and gets an empty result.
+   */
   private _syncGrants(command: SyncGrantsCommand, index: number): SyncGrantsResult {
     const entryId = buildEntryId(command);
-    const last = this._syncs.get(entryId);
-    if (last !== undefined && command.sequence <= last.sequence) {
-      const recorded = command.sequence === last.sequence ? last.result : undefined;
+    const lastSync = this._syncs.get(entryId);
+    if (lastSync !== undefined && command.sequence <= lastSync.sequence) {
+      const recorded = command.sequence === lastSync.sequence ? lastSync.result : undefined;
       return recorded ?? create(SyncGrantsResultSchema);
     }
     const result = this._ledger.sync(command, index, this._timeMs);
@@ -232,7 +239,7 @@
 
   private _expireSyncs(): void {
     for (const [entryId, sync] of this._syncs) {
-      if (Number(sync.atMs) + SYNC_KEPT_MS > this._timeMs) {
+      if (Number(sync.atMs) + SYNC_RETENTION_MS > this._timeMs) {
         return;
       }
       this._syncs.delete(entryId);
--- a/src/state/Items.test.ts
+++ b/src/state/Items.test.ts
@@ -3,19 +3,19 @@
 import { ItemChangeSchema, type ItemChange } from '../gen/redwingwharf/v1/state_pb.js';
 import { Items } from './Items.js';
 
-function set(key: string, value = 'v'): ItemChange {
+function buildSet(key: string, value = 'v'): ItemChange {
   return create(ItemChangeSchema, { key, value: Buffer.from(value) });
 }
 
-function remove(key: string): ItemChange {
+function buildDelete(key: string): ItemChange {
   return create(ItemChangeSchema, { key, delete: true });
 }
 
 describe('Items', () => {
-  it('lists deltas with tombstones, so that a revoked key does not stay on a copy', () => {
+  it('lists deltas with tombstones, so that a revoked key does not stay in a copy', () => {
     const items = new Items();
-    items.applyChanges([set('key/a'), set('key/b')], 5);
-    items.applyChanges([remove('key/a')], 9);
+    items.applyChanges([buildSet('key/a'), buildSet('key/b')], 5);
+    items.applyChanges([buildDelete('key/a')], 9);
     const since = items.listChangedSince(5);
     expect(since.full).toBe(false);
     expect(since.items.map((item) => [item.key, item.deleted])).toEqual([['key/a', true]]);
@@ -23,10 +23,10 @@
     expect(items.get('key/a')).toBeUndefined();
   });
 
-  it('requires a full copy once a tombstone that the reader misses was dropped', () => {
+  it('returns a full copy once a tombstone that the reader needs was dropped', () => {
     const items = new Items();
-    items.applyChanges([set('key/a'), set('key/b')], 5);
-    items.applyChanges([remove('key/a')], 9);
+    items.applyChanges([buildSet('key/a'), buildSet('key/b')], 5);
+    items.applyChanges([buildDelete('key/a')], 9);
     items.compact(1);
     expect(items.listChangedSince(8).full).toBe(false);
     items.compact(0);
@@ -37,26 +37,28 @@
 
   it('keeps an item that was created again after its deletion', () => {
     const items = new Items();
-    items.applyChanges([set('key/a')], 1);
-    items.applyChanges([remove('key/a')], 2);
-    items.applyChanges([set('key/a', 'w')], 3);
+    items.applyChanges([buildSet('key/a')], 1);
+    items.applyChanges([buildDelete('key/a')], 2);
+    items.applyChanges([buildSet('key/a', 'w')], 3);
     items.compact(0);
     expect(items.get('key/a')?.revision).toBe(3n);
     expect(items.compactedRevision).toBe(0);
   });
 
-  it('keeps the revision of an unchanged item, so that a repeated publish refuses no dispatch', () => {
+  it('keeps the revision of an unchanged item, so that publishing it again outdates no dispatch', () => {
     const items = new Items();
-    items.applyChanges([set('service/a', 'x')], 4);
-    expect(items.applyChanges([set('service/a', 'x'), set('service/b', 'y')], 7)).toHaveLength(1);
+    items.applyChanges([buildSet('service/a', 'x')], 4);
+    expect(
+      items.applyChanges([buildSet('service/a', 'x'), buildSet('service/b', 'y')], 7),
+    ).toHaveLength(1);
     expect(items.get('service/a')?.revision).toBe(4n);
   });
 
-  it('treats an empty value as deletion, and the deletion of nothing as no change', () => {
+  it('treats an empty value as a deletion, and the deletion of a missing item as no change', () => {
     const items = new Items();
-    items.applyChanges([set('weights/m')], 1);
-    expect(items.applyChanges([set('weights/m', '')], 2)).toHaveLength(1);
-    expect(items.applyChanges([remove('weights/m'), remove('weights/n')], 3)).toEqual([]);
+    items.applyChanges([buildSet('weights/m')], 1);
+    expect(items.applyChanges([buildSet('weights/m', '')], 2)).toHaveLength(1);
+    expect(items.applyChanges([buildDelete('weights/m'), buildDelete('weights/n')], 3)).toEqual([]);
     expect(items.list('weights/')).toEqual([]);
   });
 });
--- a/src/state/Items.ts
+++ b/src/state/Items.ts
@@ -1,23 +1,23 @@
-/** Versioned configuration items. The revision of an item is the log index of its last change. */
+/** Store of configuration items. The revision of an item is the log index of its last change. */
 import { create } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
 import { ItemSchema, type Item, type ItemChange } from '../gen/redwingwharf/v1/state_pb.js';
 
 /**
- * Tombstones kept; a reader that misses a dropped one gets a full copy. They are counted and not aged
- * by the log index, because the index also grows with every exchange of grants.
+ * Tombstones that are retained; a reader that needs a dropped one gets a full copy. The limit is a
+ * number of tombstones, not an age in log entries, because each grant exchange adds a log entry too.
  */
 export const MAX_TOMBSTONES = 10_000;
 
-/** What a reader at an older revision needs. */
-export interface IItemsSince {
-  /** True when `items` replaces everything that the reader holds. */
+/** Items that bring a reader at an older revision up to date. */
+export interface IChangedItems {
+  /** True when `items` replaces all items of the reader. */
   readonly full: boolean;
   /** In the order of their last change; deltas include tombstones, a full copy does not. */
   readonly items: Item[];
 }
 
-/** Items and tombstones in the order of their last change. */
+/** Holds items and tombstones in the order of their last change, and lists deltas for readers. */
 export class Items {
   private _items = new Map<string, Item>();
   /** Deleted items by key, the oldest deletion first. */
@@ -25,31 +25,31 @@
   private _compactedRevision = 0;
   private _changedRevision = 0;
 
-  /** Readers behind this revision miss a dropped tombstone and need a full copy. */
+  /** Revision of the last dropped tombstone; readers behind it need a full copy. */
   public get compactedRevision(): number {
     return this._compactedRevision;
   }
 
-  /** Revision of the last change to any item that is still known. */
+  /** Revision of the last change to an item or tombstone. */
   public get changedRevision(): number {
     return this._changedRevision;
   }
 
-  /** The item, or undefined when it does not exist or was deleted. */
+  /** Returns the item, or undefined when it does not exist or was deleted. */
   public get(key: string): Item | undefined {
     const item = this._items.get(key);
     return item === undefined || item.deleted ? undefined : item;
   }
 
-  /** Items whose key begins with the prefix, without tombstones. */
+  /** Lists the items whose key begins with the prefix, without tombstones. */
   public list(prefix: string): Item[] {
     return [...this._items.values()].filter((item) => !item.deleted && item.key.startsWith(prefix));
   }
 
   /**
-   * Applies one change at a log index and returns the items that differ afterwards. An empty value
-   * deletes; deleting an item that does not exist changes nothing. An item that is set to the value it
-   * has keeps its revision, so that publishing it again makes no dispatch out of date.
+   * Applies the item changes of one command at a log index and returns the items that changed. An empty
+   * value deletes the item; deleting an item that does not exist has no effect. An item that is set to
+   * its current value keeps its revision, so that publishing it again does not outdate any dispatch.
    */
   public applyChanges(changes: readonly ItemChange[], index: number): Item[] {
     const changed = new Map<string, Item>();
@@ -75,12 +75,13 @@
   }
 
   /**
-   * Changes after a revision.
+   * Lists the changes after a revision, or a full copy for revision 0 and for readers that need a dropped
+   * tombstone.
    *
    * @example
    * const { full, items } = state.listChangedSince(haveRevision);
    */
-  public listChangedSince(revision: number): IItemsSince {
+  public listChangedSince(revision: number): IChangedItems {
     if (revision <= 0 || revision < this._compactedRevision) {
       return { full: true, items: this.list('') };
     }
@@ -109,9 +110,9 @@
 
   private _applyChange(change: ItemChange, index: number): Item | undefined {
     const deleted = change.delete || change.value.length === 0;
-    const known = this.get(change.key);
-    const isSame = known !== undefined && !deleted && hasSameBytes(known.value, change.value);
-    if (isSame || (deleted && known === undefined)) {
+    const existing = this.get(change.key);
+    const isSame = existing !== undefined && !deleted && hasSameBytes(existing.value, change.value);
+    if (isSame || (deleted && existing === undefined)) {
       return undefined;
     }
     const item = create(ItemSchema, {
--- a/src/state/Ledger.test.ts
+++ b/src/state/Ledger.test.ts
@@ -11,7 +11,7 @@
   type Grant,
   type SyncGrantsCommand,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { AccountLedger, NEVER_MS } from './AccountLedger.js';
+import { AccountLedger, NEVER_RETRY_AFTER_MS } from './AccountLedger.js';
 import { measureExcess } from './AdmissionBound.js';
 import { ControlState } from './ControlState.js';
 import { Ledger } from './Ledger.js';
@@ -21,20 +21,21 @@
 const TOLERANCE_TOKENS = 1e-3;
 const SEED = 20_261_204;
 
-/** Refunds that ignore the shadow levels. */
+/** Faulty ledger whose refunds ignore the epoch limits. */
 class PlainRefundAccount extends AccountLedger {
-  protected override limitRefund(): number {
+  protected override computeRefundLimit(): number {
     return this.burst;
   }
 }
 
-/** Outstanding grants that don't count against the burst. */
+/** Faulty ledger whose outstanding grants don't count against the burst. */
 class UncountedGrantsAccount extends AccountLedger {
-  protected override limitLevel(): number {
+  protected override computeLevelLimit(): number {
     return this.burst;
   }
 }
 
+/** Ledger that creates accounts of the given class. */
 class VariantLedger extends Ledger {
   constructor(private readonly _variant: typeof AccountLedger) {
     super();
@@ -61,10 +62,10 @@
   usedTokens: number;
 }
 
-/** An entry that reports, returns and settles at any time, as late as it likes. */
+/** Model of an entry that reports, returns and settles at any time, with any delay. */
 class ModelEntry {
   public holdings: IHolding[] = [];
-  public open: IReservation[] = [];
+  public openReservations: IReservation[] = [];
   public pending: { command: SyncGrantsCommand; sentAtMs: number } | undefined;
   public answer: Grant | undefined;
   private _sequence = 0n;
@@ -115,7 +116,7 @@
     this.answer = undefined;
   }
 
-  /** Takes up to the given tokens from one grant. */
+  /** Admits a request with up to the given tokens from one grant; undefined when none is leased. */
   public admit(
     nowMs: number,
     tokens: number,
@@ -137,12 +138,15 @@
       epoch,
       usedTokens,
     };
-    this.open.push(reservation);
+    this.openReservations.push(reservation);
     return reservation;
   }
 
-  public settle(which: number, fraction: number): void {
-    const [reservation] = this.open.splice(which % Math.max(1, this.open.length), 1);
+  public settle(choice: number, fraction: number): void {
+    const [reservation] = this.openReservations.splice(
+      choice % Math.max(1, this.openReservations.length),
+      1,
+    );
     if (reservation !== undefined) {
       const unused = Math.round(reservation.usedTokens * fraction);
       reservation.usedTokens -= unused;
@@ -155,12 +159,12 @@
   readonly kind: (typeof STEPS)[number];
   readonly afterMs: number;
   readonly entry: number;
-  /** Tokens in relation to the burst. */
+  /** Ratio of the tokens to the burst. */
   readonly share: number;
   readonly fraction: number;
 }
 
-/** Kinds of steps; a repeated one is more frequent. */
+/** Kinds of steps; those listed several times are more frequent. */
 // prettier-ignore
 const STEPS = [
   'serve', 'serve', 'serve', 'serve', 'exchange', 'exchange', 'admit', 'admit', 'admit',
@@ -168,8 +172,9 @@
   'limits', 'withdraw',
 ] as const;
 
+/** Runs random steps of entries, network and control leader against one client account. */
 class Simulation {
-  /** Admissions of each account that was created as a new one. */
+  /** Admissions, separately for each time that the account was created with a full bucket. */
   public readonly histories: IReservation[][] = [];
   private readonly _state: ControlState;
   private readonly _entries: ModelEntry[];
@@ -202,7 +207,7 @@
       case 'serve':
       case 'exchange':
         entry.send(this._nowMs, tokens, true, step.fraction > 0.7);
-        this._answer(entry);
+        this._applyPending(entry);
         entry.receive();
         if (step.kind === 'serve') {
           this._admit(entry, tokens);
@@ -212,7 +217,7 @@
         entry.send(this._nowMs, tokens, step.fraction > 0.3, step.fraction > 0.7);
         break;
       case 'apply':
-        this._answer(entry);
+        this._applyPending(entry);
         break;
       case 'receive':
         entry.receive();
@@ -230,7 +235,7 @@
         this._entries[position] = this._startEntry(entry.clockRate);
         break;
       case 'failover':
-        // The new leader starts from the last committed logical time.
+        // A new leader starts from the last committed logical time.
         this._logicalMs = this._state.timeMs;
         break;
       case 'limits':
@@ -265,7 +270,7 @@
     }
   }
 
-  private _answer(entry: ModelEntry): void {
+  private _applyPending(entry: ModelEntry): void {
     if (entry.pending !== undefined) {
       const result = this._apply({ case: 'syncGrants', value: entry.pending.command });
       entry.answer = result.body.case === 'syncGrants' ? result.body.value.grants[0] : undefined;
@@ -274,7 +279,7 @@
 
   private _setLimits(rate: number, burst: number): void {
     if (this._ledger.get(ACCOUNT) === undefined) {
-      // The account is new, or was deleted and forgotten.
+      // The account is new, or was deleted and then removed from the ledger.
       this.histories.push([]);
     }
     this._rate = rate;
@@ -303,7 +308,7 @@
   }
 }
 
-/** No pair of admissions exceeds rate x time + burst, whatever the entries and the network do. */
+/** Property: the admissions between any two instants never exceed rate x time + burst. */
 function buildProperty(
   createLedger: () => Ledger,
   hasChanges: boolean,
@@ -355,106 +360,115 @@
     );
   });
 
-  it('is broken by refunds without shadow levels, so the property can see them', () => {
+  it('is violated by refunds without epoch limits, so that the property detects this fault', () => {
     const property = buildProperty(() => new VariantLedger(PlainRefundAccount), false);
     expect(fc.check(property, { seed: SEED, numRuns: 600, endOnFailure: true }).failed).toBe(true);
   });
 
-  it('is broken when grants do not count against the burst, so the property can see it', () => {
+  it('is violated by grants that do not count against the burst, so that the property detects it', () => {
     const property = buildProperty(() => new VariantLedger(UncountedGrantsAccount), false);
     expect(fc.check(property, { seed: SEED, numRuns: 600, endOnFailure: true }).failed).toBe(true);
   });
 });
 
-const A = { instance: 'a', incarnation: Uint8Array.of(1) };
-const B = { instance: 'b', incarnation: Uint8Array.of(2) };
-const A_ID = '01/a';
+const ENTRY_A = { instance: 'a', incarnation: Uint8Array.of(1) };
+const ENTRY_B = { instance: 'b', incarnation: Uint8Array.of(2) };
+const ENTRY_A_ID = '01/a';
 
-function createFull(rate: number, burst: number): AccountLedger {
+function createFullLedger(rate: number, burst: number): AccountLedger {
   const account = new AccountLedger(ACCOUNT, 0);
-  account.fill(rate, burst);
+  account.initialise(rate, burst);
   return account;
 }
 
 describe('AccountLedger', () => {
-  it('says that more than the burst can never be granted, and when less will be', () => {
-    const account = createFull(100, 1_000);
-    expect(account.grant(A, 1, 1_001, 0, 0)).toMatchObject({ tokens: 0, retryAfterMs: NEVER_MS });
-    expect(account.grant(A, 2, 1_000, 0, 0)).toMatchObject({ tokens: 1_000, retryAfterMs: 0 });
-    expect(account.grant(B, 3, 250, 0, 0)).toMatchObject({ tokens: 0, retryAfterMs: 2_500 });
+  it('returns that more than the burst can never be granted, and the time until less can be', () => {
+    const account = createFullLedger(100, 1_000);
+    expect(account.grant(ENTRY_A, 1, 1_001, 0, 0)).toMatchObject({
+      tokens: 0,
+      retryAfterMs: NEVER_RETRY_AFTER_MS,
+    });
+    expect(account.grant(ENTRY_A, 2, 1_000, 0, 0)).toMatchObject({
+      tokens: 1_000,
+      retryAfterMs: 0,
+    });
+    expect(account.grant(ENTRY_B, 3, 250, 0, 0)).toMatchObject({ tokens: 0, retryAfterMs: 2_500 });
   });
 
-  it('grants the reachable part when the waiting requests together exceed the burst', () => {
-    const account = createFull(100, 1_000);
-    expect(account.grant(A, 1, 3_000, 600, 0)).toMatchObject({ tokens: 1_000, retryAfterMs: 0 });
+  it('grants up to the burst when the waiting requests together exceed it', () => {
+    const account = createFullLedger(100, 1_000);
+    expect(account.grant(ENTRY_A, 1, 3_000, 600, 0)).toMatchObject({
+      tokens: 1_000,
+      retryAfterMs: 0,
+    });
   });
 
-  it('gives no more than is wanted in all, so that asking again does not hoard', () => {
-    const account = createFull(100, 1_000);
-    account.grant(A, 1, 300, 0, 0);
-    expect(account.grant(A, 2, 300, 0, 0)).toMatchObject({ tokens: 0, retryAfterMs: 0 });
+  it('grants no more than the wanted total, so that repeated requests do not hoard tokens', () => {
+    const account = createFullLedger(100, 1_000);
+    account.grant(ENTRY_A, 1, 300, 0, 0);
+    expect(account.grant(ENTRY_A, 2, 300, 0, 0)).toMatchObject({ tokens: 0, retryAfterMs: 0 });
   });
 
-  it('shares what is there with an entry that lacked tokens just before', () => {
-    const account = createFull(100, 1_000);
-    account.grant(A, 1, 1_000, 0, 0);
-    account.grant(B, 2, 500, 0, 0);
-    account.report(A_ID, 1, 0, 600);
-    expect(account.grant(A, 3, 1_000, 0, 0).tokens).toBe(300);
-    expect(account.grant(B, 4, 500, 0, 0).tokens).toBe(150);
+  it('shares the level with an entry that had unmet demand shortly before', () => {
+    const account = createFullLedger(100, 1_000);
+    account.grant(ENTRY_A, 1, 1_000, 0, 0);
+    account.grant(ENTRY_B, 2, 500, 0, 0);
+    account.report(ENTRY_A_ID, 1, 0, 600);
+    expect(account.grant(ENTRY_A, 3, 1_000, 0, 0).tokens).toBe(300);
+    expect(account.grant(ENTRY_B, 4, 500, 0, 0).tokens).toBe(150);
   });
 
-  it('expires a grant after 4 s as spent, so that a crashed entry blocks no tokens for good', () => {
-    const account = createFull(0, 1_000);
-    account.grant(A, 1, 400, 0, 0);
+  it('expires a grant as spent after 4 s, so that a crashed entry does not hold tokens forever', () => {
+    const account = createFullLedger(0, 1_000);
+    account.grant(ENTRY_A, 1, 400, 0, 0);
     account.advance(3_999);
     expect(account.outstanding).toBe(400);
     account.advance(4_000);
     expect([account.level, account.outstanding]).toEqual([600, 0]);
-    account.report(A_ID, 1, 0, 400);
+    account.report(ENTRY_A_ID, 1, 0, 400);
     expect(account.level).toBe(600);
   });
 
-  it('gives a refund back when the bucket has not refilled since', () => {
-    const account = createFull(0, 1_000);
-    account.grant(A, 1, 600, 0, 0);
-    account.report(A_ID, 1, 600, 0);
+  it('refunds tokens in full when the bucket has not refilled since', () => {
+    const account = createFullLedger(0, 1_000);
+    account.grant(ENTRY_A, 1, 600, 0, 0);
+    account.report(ENTRY_A_ID, 1, 600, 0);
     account.advance(1_000);
-    const { epoch } = account.grant(A, 2, 300, 0, 1_000);
-    account.report(A_ID, 2, 300, 0);
+    const { epoch } = account.grant(ENTRY_A, 2, 300, 0, 1_000);
+    account.report(ENTRY_A_ID, 2, 300, 0);
     account.advance(60_000);
     account.refund(epoch, 200);
     expect(account.level).toBe(300);
   });
 
-  it('drops refunds for epochs that are no longer kept or have not begun', () => {
-    const account = createFull(0, 1_000);
-    account.grant(A, 1, 600, 0, 0);
-    account.report(A_ID, 1, 600, 0);
+  it('drops refunds for epochs that are no longer retained or have not begun', () => {
+    const account = createFullLedger(0, 1_000);
+    account.grant(ENTRY_A, 1, 600, 0, 0);
+    account.report(ENTRY_A_ID, 1, 600, 0);
     account.advance(1_000);
-    const { epoch } = account.grant(A, 2, 300, 0, 1_000);
-    account.report(A_ID, 2, 300, 0);
+    const { epoch } = account.grant(ENTRY_A, 2, 300, 0, 1_000);
+    account.report(ENTRY_A_ID, 2, 300, 0);
     account.refund(epoch + 1, 200);
     account.advance(121_000);
     account.refund(epoch, 200);
     expect(account.level).toBe(100);
   });
 
-  it('gives no second burst to an account that is deleted and created again', () => {
+  it('does not give a second burst to an account that is deleted and created again', () => {
     const ledger = new Ledger();
     ledger.setLimits(ACCOUNT, 100, 1_000, 0);
-    ledger.get(ACCOUNT)?.grant(A, 1, 1_000, 0, 0);
+    ledger.get(ACCOUNT)?.grant(ENTRY_A, 1, 1_000, 0, 0);
     ledger.withdraw(ACCOUNT, 10);
-    expect(ledger.get(ACCOUNT)?.grant(A, 2, 1_000, 0, 10).tokens).toBe(0);
+    expect(ledger.get(ACCOUNT)?.grant(ENTRY_A, 2, 1_000, 0, 10).tokens).toBe(0);
     ledger.compact(5_000);
     ledger.setLimits(ACCOUNT, 100, 1_000, 5_000);
     expect(ledger.get(ACCOUNT)?.level).toBe(100);
   });
 
-  it('forgets a deleted account once its bucket is full, so that the table does not grow', () => {
+  it('removes a deleted account once its bucket is full, so that the table does not grow', () => {
     const ledger = new Ledger();
     ledger.setLimits(ACCOUNT, 100, 1_000, 0);
-    ledger.get(ACCOUNT)?.grant(A, 1, 1_000, 0, 0);
+    ledger.get(ACCOUNT)?.grant(ENTRY_A, 1, 1_000, 0, 0);
     ledger.withdraw(ACCOUNT, 10);
     ledger.compact(300_000);
     expect(ledger.get(ACCOUNT)).toBeUndefined();
--- a/src/state/Ledger.ts
+++ b/src/state/Ledger.ts
@@ -1,4 +1,4 @@
-/** The token-bucket ledgers of all client accounts (design 3.4). */
+/** Token-bucket ledgers of all client accounts (design 3.4). */
 import { create } from '@bufbuild/protobuf';
 import {
   GrantSchema,
@@ -9,10 +9,10 @@
   type SyncGrantsCommand,
   type SyncGrantsResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { AccountLedger, NEVER_MS } from './AccountLedger.js';
+import { AccountLedger, NEVER_RETRY_AFTER_MS } from './AccountLedger.js';
 import { buildEntryId, type IEntryProcess } from './EntryProcess.js';
 
-/** Ledgers by client account. */
+/** Holds the ledger of each client account and applies the grant exchanges of the entries. */
 export class Ledger {
   private readonly _accounts = new Map<string, AccountLedger>();
 
@@ -27,22 +27,22 @@
     burstTokens: number,
     timeMs: number,
   ): void {
-    const known = this._accounts.get(clientAccount);
-    if (known !== undefined) {
-      known.setLimits(tokensPerSecond, burstTokens, timeMs);
+    const existing = this._accounts.get(clientAccount);
+    if (existing !== undefined) {
+      existing.setLimits(tokensPerSecond, burstTokens, timeMs);
       return;
     }
     const account = this.createAccount(clientAccount, timeMs);
-    account.fill(tokensPerSecond, burstTokens);
+    account.initialise(tokensPerSecond, burstTokens);
     this._accounts.set(clientAccount, account);
   }
 
-  /** Ends the grants of a deleted client account. */
+  /** Stops granting tokens to a deleted client account; its bucket is kept until `compact`. */
   public withdraw(clientAccount: string, timeMs: number): void {
     this._accounts.get(clientAccount)?.withdraw(timeMs);
   }
 
-  /** Forgets deleted client accounts whose bucket is as full as that of a new one. */
+  /** Removes deleted client accounts whose bucket has become as full as that of a new one. */
   public compact(timeMs: number): void {
     for (const account of [...this._accounts.values()]) {
       if (account.isWithdrawn) {
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Carries out one exchange with an entry: reports, then refunds, then grants. The caller makes sure
-   * that a command is applied once.
+   * Applies one exchange of an entry: reports, then refunds, then grants. The caller has to make sure
+   * that each command is applied only once.
    */
   public sync(command: SyncGrantsCommand, index: number, timeMs: number): SyncGrantsResult {
     const entry = { instance: command.instance, incarnation: command.incarnation };
@@ -111,7 +111,7 @@
       grantId: BigInt(index),
       tokens: granted?.tokens ?? 0,
       epoch: BigInt(granted?.epoch ?? 0),
-      retryAfterMs: granted?.retryAfterMs ?? NEVER_MS,
+      retryAfterMs: granted?.retryAfterMs ?? NEVER_RETRY_AFTER_MS,
     });
   }
 }
--- a/src/state/LoadSlots.test.ts
+++ b/src/state/LoadSlots.test.ts
@@ -3,45 +3,50 @@
 import { LoadSlotCommandSchema, type LoadSlotCommand } from '../gen/redwingwharf/v1/state_pb.js';
 import { LOAD_SLOT_LEASE_MS, LoadSlots } from './LoadSlots.js';
 
-function build(target: string, incarnation = 1, version = '1', release = false): LoadSlotCommand {
+function buildCommand(
+  target: string,
+  incarnation = 1,
+  version = '1',
+  release = false,
+): LoadSlotCommand {
   const sidecarIncarnation = Uint8Array.of(incarnation);
   return create(LoadSlotCommandSchema, { target, sidecarIncarnation, version, release });
 }
 
 describe('LoadSlots', () => {
-  it('grants two slots and tells a third target when one is free, so that loads stay fast', () => {
+  it('grants only two slots, so that loads stay fast, and returns the wait to a third target', () => {
     const slots = new LoadSlots();
-    expect(slots.apply(build('a'), 1, 0)).toMatchObject({ granted: true, fence: 1n });
-    expect(slots.apply(build('b'), 2, 500)).toMatchObject({ granted: true, fence: 2n });
-    expect(slots.apply(build('c'), 3, 1_000)).toMatchObject({
+    expect(slots.apply(buildCommand('a'), 1, 0)).toMatchObject({ granted: true, fence: 1n });
+    expect(slots.apply(buildCommand('b'), 2, 500)).toMatchObject({ granted: true, fence: 2n });
+    expect(slots.apply(buildCommand('c'), 3, 1_000)).toMatchObject({
       granted: false,
       retryAfterMs: 9_000,
     });
-    expect(slots.apply(build('c'), 4, LOAD_SLOT_LEASE_MS)).toMatchObject({ granted: true });
+    expect(slots.apply(buildCommand('c'), 4, LOAD_SLOT_LEASE_MS)).toMatchObject({ granted: true });
   });
 
-  it('keeps the fence for a repeated request, so that a lost answer takes no second slot', () => {
+  it('keeps the fence for a repeated request, so that a lost answer does not use a second slot', () => {
     const slots = new LoadSlots();
-    slots.apply(build('a'), 1, 0);
-    expect(slots.apply(build('a'), 2, 100).fence).toBe(1n);
-    expect(slots.apply(build('b'), 3, 100).granted).toBe(true);
+    slots.apply(buildCommand('a'), 1, 0);
+    expect(slots.apply(buildCommand('a'), 2, 100).fence).toBe(1n);
+    expect(slots.apply(buildCommand('b'), 3, 100).granted).toBe(true);
   });
 
   it('gives other weights and a restarted sidecar a higher fence', () => {
     const slots = new LoadSlots();
-    slots.apply(build('a'), 1, 0);
-    expect(slots.apply(build('a', 1, '2'), 2, 0).fence).toBe(2n);
-    expect(slots.apply(build('a', 2, '2'), 3, 0).fence).toBe(3n);
+    slots.apply(buildCommand('a'), 1, 0);
+    expect(slots.apply(buildCommand('a', 1, '2'), 2, 0).fence).toBe(2n);
+    expect(slots.apply(buildCommand('a', 2, '2'), 3, 0).fence).toBe(3n);
   });
 
-  it('ignores the late release of an older holder', () => {
+  it('ignores a delayed release from an older holder', () => {
     const slots = new LoadSlots();
-    slots.apply(build('a', 2, '2'), 1, 0);
-    slots.apply(build('b'), 2, 0);
-    slots.apply(build('a', 1, '2', true), 3, 0);
-    slots.apply(build('a', 2, '1', true), 4, 0);
-    expect(slots.apply(build('c'), 5, 0).granted).toBe(false);
-    slots.apply(build('a', 2, '2', true), 6, 0);
-    expect(slots.apply(build('c'), 7, 0).granted).toBe(true);
+    slots.apply(buildCommand('a', 2, '2'), 1, 0);
+    slots.apply(buildCommand('b'), 2, 0);
+    slots.apply(buildCommand('a', 1, '2', true), 3, 0);
+    slots.apply(buildCommand('a', 2, '1', true), 4, 0);
+    expect(slots.apply(buildCommand('c'), 5, 0).granted).toBe(false);
+    slots.apply(buildCommand('a', 2, '2', true), 6, 0);
+    expect(slots.apply(buildCommand('c'), 7, 0).granted).toBe(true);
   });
 });
--- a/src/state/LoadSlots.ts
+++ b/src/state/LoadSlots.ts
@@ -1,4 +1,4 @@
-/** Slots of the weight store: only so many engines load weights at the same time. */
+/** Load slots of the weight store, which limit how many engines load weights at the same time. */
 import { create } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
 import {
@@ -9,10 +9,10 @@
   type LoadSlotSnapshot,
 } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Loads take longer when more than two or three engines load at once. */
-export const LOAD_SLOTS = 2;
+/** Number of slots. Loads take longer when more than two or three engines load at once. */
+export const LOAD_SLOT_COUNT = 2;
 
-/** Logical time after which the slot of a crashed sidecar is free again. */
+/** Lease of a slot in logical time, after which the slot of a crashed sidecar is free again. */
 export const LOAD_SLOT_LEASE_MS = 10_000;
 
 function hasSameWeights(held: LoadSlotSnapshot, command: LoadSlotCommand): boolean {
@@ -23,13 +23,13 @@
   );
 }
 
-/** Holders of the slots by target. A target has at most one slot. */
+/** Assigns the slots to targets, at most one to each, with a lease and a fence. */
 export class LoadSlots {
   private _slots = new Map<string, LoadSlotSnapshot>();
 
   /**
-   * Acquires or releases a slot. A repeated request of the same holder for the same weights keeps its
-   * fence and renews the lease; other weights or a new sidecar incarnation get a new fence.
+   * Acquires or releases a slot. A repeated request of the same holder for the same weights renews the
+   * lease and keeps the fence; other weights or a new sidecar incarnation get a new fence.
    */
   public apply(command: LoadSlotCommand, index: number, timeMs: number): LoadSlotResult {
     this._expire(timeMs);
@@ -46,9 +46,11 @@
 
   private _acquire(command: LoadSlotCommand, index: number, timeMs: number): LoadSlotResult {
     const held = this._slots.get(command.target);
-    if (held === undefined && this._slots.size >= LOAD_SLOTS) {
-      const expiry = Math.min(...[...this._slots.values()].map((slot) => Number(slot.expiresAtMs)));
-      return create(LoadSlotResultSchema, { retryAfterMs: Math.ceil(expiry - timeMs) });
+    if (held === undefined && this._slots.size >= LOAD_SLOT_COUNT) {
+      const earliestExpiryMs = Math.min(
+        ...[...this._slots.values()].map((slot) => Number(slot.expiresAtMs)),
+      );
+      return create(LoadSlotResultSchema, { retryAfterMs: Math.ceil(earliestExpiryMs - timeMs) });
     }
     const isRepeat = held !== undefined && hasSameWeights(held, command);
     const fence = isRepeat ? held.fence : BigInt(index);
@@ -66,7 +68,7 @@
 
   private _release(command: LoadSlotCommand): LoadSlotResult {
     const held = this._slots.get(command.target);
-    // A late release for an older incarnation or older weights must not free the newer slot.
+    // A delayed release from an older incarnation or for older weights must not free the current slot.
     const isHolder =
       held !== undefined &&
       hasSameBytes(held.sidecarIncarnation, command.sidecarIncarnation) &&
