--- a/src/admission/DispatchQueue.test.ts
+++ b/src/admission/DispatchQueue.test.ts
@@ -71,69 +71,69 @@
 
 describe('DispatchQueue', () => {
   it('does not let a flood of one account starve another', async () => {
-    const bed = new QueueHarness();
+    const harness = new QueueHarness();
     for (let count = 0; count < 100; count++) {
-      bed.enter('flood');
+      harness.enter('flood');
     }
-    bed.enter('calm');
-    await bed.releaseOne();
-    await bed.releaseOne();
-    expect(bed.admitted).toHaveLength(3);
-    expect(bed.admitted).toContain('calm');
+    harness.enter('calm');
+    await harness.releaseOne();
+    await harness.releaseOne();
+    expect(harness.admitted).toHaveLength(3);
+    expect(harness.admitted).toContain('calm');
   });
 
   it('refuses requests at once while the queue is full, so that none waits in vain', async () => {
-    const bed = new QueueHarness({ limits: { maxRequests: 2 } });
+    const harness = new QueueHarness({ limits: { maxRequests: 2 } });
     for (let count = 0; count < 5; count++) {
-      bed.enter('pag');
+      harness.enter('pag');
     }
-    await bed.flushPromises();
-    expect(bed.refused).toEqual(['overloaded', 'overloaded']);
-    expect(bed.queue.waiting).toBe(2);
+    await harness.flushPromises();
+    expect(harness.refused).toEqual(['overloaded', 'overloaded']);
+    expect(harness.queue.waiting).toBe(2);
   });
 
   it('refuses a request whose deadline passes while it waits', async () => {
-    const bed = new QueueHarness();
-    bed.enter('pag');
-    bed.enter('pag', { deadlineMs: bed.clock.time + 20 });
-    await bed.flushPromises();
-    bed.clock.time += 21;
-    await bed.report(0);
-    expect([bed.refused, bed.queue.waiting]).toEqual([['overloaded'], 0]);
+    const harness = new QueueHarness();
+    harness.enter('pag');
+    harness.enter('pag', { deadlineMs: harness.clock.time + 20 });
+    await harness.flushPromises();
+    harness.clock.time += 21;
+    await harness.report(0);
+    expect([harness.refused, harness.queue.waiting]).toEqual([['overloaded'], 0]);
   });
 
   it('removes a request whose caller disconnects, so that no permit leaks', async () => {
-    const bed = new QueueHarness();
-    bed.enter('pag');
-    const leaving = bed.enter('gone');
-    bed.enter('next');
+    const harness = new QueueHarness();
+    harness.enter('pag');
+    const leaving = harness.enter('gone');
+    harness.enter('next');
     leaving.abort();
-    await bed.releaseOne();
-    expect([bed.admitted, bed.refused]).toEqual([['pag', 'next'], ['aborted']]);
+    await harness.releaseOne();
+    expect([harness.admitted, harness.refused]).toEqual([['pag', 'next'], ['aborted']]);
   });
 
   it('subtracts the load of other entries from its bound, but not its own reported load', async () => {
-    const bed = new QueueHarness({ maxPerTarget: 10 });
-    await bed.report(9, 8);
+    const harness = new QueueHarness({ maxPerTarget: 10 });
+    await harness.report(9, 8);
     for (let count = 0; count < 30; count++) {
-      bed.enter('pag');
+      harness.enter('pag');
     }
-    await bed.flushPromises();
+    await harness.flushPromises();
     // Two targets of 10, of which others use 17, so only the guaranteed minimum of 4 each is left.
-    expect(bed.admitted).toHaveLength(8);
-    await bed.report(9 + 4, 8 + 4);
-    expect(bed.admitted).toHaveLength(8);
-    await bed.report(4, 4);
-    expect(bed.admitted).toHaveLength(20);
+    expect(harness.admitted).toHaveLength(8);
+    await harness.report(9 + 4, 8 + 4);
+    expect(harness.admitted).toHaveLength(8);
+    await harness.report(4, 4);
+    expect(harness.admitted).toHaveLength(20);
   });
 
   it('does not queue requests without targets, so that target selection refuses them', async () => {
-    const bed = new QueueHarness();
-    bed.enter('pag');
-    bed.enter('pag');
-    await bed.flushPromises();
-    await bed.report();
-    expect(bed.admitted).toHaveLength(2);
+    const harness = new QueueHarness();
+    harness.enter('pag');
+    harness.enter('pag');
+    await harness.flushPromises();
+    await harness.report();
+    expect(harness.admitted).toHaveLength(2);
   });
 
   it('never exceeds its bound or leaves requests waiting below it (property)', async () => {
@@ -144,35 +144,35 @@
     );
     await fc.assert(
       fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
-        const bed = new QueueHarness({ maxPerTarget: 2 });
+        const harness = new QueueHarness({ maxPerTarget: 2 });
         const callers: AbortController[] = [];
         let enteredCount = 0;
         let maxTargets = 1;
         for (const item of steps) {
           const at = 'at' in item ? item.at : 0;
           if ('account' in item) {
-            callers.push(bed.enter(item.account));
+            callers.push(harness.enter(item.account));
             enteredCount += 1;
           } else if (item.kind === 'finish') {
-            await bed.releaseOne();
+            await harness.releaseOne();
           } else if (item.kind === 'leave') {
             callers[at % (callers.length + 1)]?.abort();
           } else if (item.kind === 'targets') {
             maxTargets = Math.max(maxTargets, at);
-            await bed.report(...Array.from({ length: at }, () => 0));
+            await harness.report(...Array.from({ length: at }, () => 0));
           } else {
-            bed.clock.time += at * 100;
+            harness.clock.time += at * 100;
           }
-          await bed.flushPromises();
-          expect(bed.queue.inProgress).toBeLessThanOrEqual(2 * maxTargets);
-          const isFull = bed.queue.inProgress >= 2 * bed.loads.length;
-          expect(bed.queue.waiting === 0 || isFull).toBe(true);
+          await harness.flushPromises();
+          expect(harness.queue.inProgress).toBeLessThanOrEqual(2 * maxTargets);
+          const isFull = harness.queue.inProgress >= 2 * harness.loads.length;
+          expect(harness.queue.waiting === 0 || isFull).toBe(true);
         }
-        while (bed.permits.length > 0) {
-          await bed.releaseOne();
+        while (harness.permits.length > 0) {
+          await harness.releaseOne();
         }
-        expect([bed.queue.waiting, bed.queue.inProgress]).toEqual([0, 0]);
-        expect(bed.admitted.length + bed.refused.length).toBe(enteredCount);
+        expect([harness.queue.waiting, harness.queue.inProgress]).toEqual([0, 0]);
+        expect(harness.admitted.length + harness.refused.length).toBe(enteredCount);
       }),
       { numRuns: 200, seed: 20_261_204 },
     );
