--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -1,4 +1,4 @@
-/** One request at one target, and the relay of its answer. */
+/** Sends a request to one target and relays the response to the client. */
 import type { IClock } from '../common/Clock.js';
 import type { Metrics } from '../common/Metrics.js';
 import { isBroken } from '../common/TestSwitches.js';
@@ -6,7 +6,7 @@
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { EventFramer } from './EventFramer.js';
 import { isSilent } from './Silence.js';
-import { noteGood, noteLoad, noteUnreachable, type ITargetState } from './TargetStates.js';
+import { recordSuccess, recordLoad, recordUnreachable, type ITargetState } from './TargetStates.js';
 import type {
   IAnswerSink,
   ICall,
@@ -17,40 +17,40 @@
   IToldLoad,
 } from './Types.js';
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 export type AttemptOutcome =
-  /** The answer was passed on in full. */
+  /** The whole response was relayed. */
   | { readonly kind: 'answered' }
   /** The target proved that it did not run the request. */
   | {
       readonly kind: 'not_run';
       readonly reason: string;
-      /** True if the target was not even reached. */
+      /** True if the target could not be reached or another target has its address. */
       readonly isUnreachable: boolean;
     }
   /** The target may have run the request. */
   | { readonly kind: 'failed'; readonly reason: string }
-  /** The time limit was reached, or the client left. */
+  /** The deadline passed, or the client disconnected. */
   | { readonly kind: 'ended'; readonly reason: string };
 
 export interface IAttemptOptions {
   readonly target: TargetRecord;
   readonly state: ITargetState;
   readonly route: IRoute;
-  /** Time at which the client's or the route's limit is reached. */
-  readonly endsAt: number;
+  /** Deadline of the call: the earlier of the client's and the route's, on the monotonic clock. */
+  readonly deadlineAt: number;
   readonly lastEventId: number | undefined;
-  /** Prompt tokens that the target is expected to read. */
+  /** Prompt tokens that the target is expected to compute, that is, that are not in its cache. */
   readonly pendingTokens: number;
-  /** Expected time to the first byte. */
+  /** Expected time to the first byte of the response body. */
   readonly expectedMs: number;
-  /** True: a silent target may be left for another one. */
-  readonly mayMove: boolean;
-  /** True: the stream is expected to last. */
-  readonly isLong: boolean;
-  /** True: an error status of the target may be dropped in favour of another target's answer. */
+  /** Whether the attempt may be ended in favour of another target if this one falls silent. */
+  readonly mayFailOver: boolean;
+  /** Whether the response is expected to generate more than `LONG_STREAM_TOKENS` tokens. */
+  readonly isLongStream: boolean;
+  /** Whether a 5xx response may be discarded so that another target can be tried. */
   readonly mayReplaceError: boolean;
-  /** Called with the time of the first byte of the answer's body. */
+  /** Called with the time at which the first byte of the response body arrived. */
   readonly onFirstByte: (at: number) => void;
   readonly dispatch: Omit<IDispatch, 'deadlineMs' | 'resumeAfter'>;
 }
@@ -61,35 +61,39 @@
   readonly metrics: Metrics;
 }
 
-/** Between two looks whether the target has gone silent. */
-const SILENCE_CHECK_MS = 250;
+const SILENCE_CHECK_INTERVAL_MS = 250;
 
-const FIRST_ERROR_STATUS = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Longer answers to safe requests are passed on as they come. */
-const MAX_HELD_BYTES = 64 * 1024;
+/** Responses to safe requests are buffered up to this size, and streamed beyond it. */
+const MAX_BUFFERED_BYTES = 64 * 1024;
 
+/**
+ * One attempt of a call at one target. Counts the request in the state of the target while it runs, ends
+ * it at the deadline, when the client disconnects or when the target falls silent, and relays the
+ * response with backpressure. `run` may be called once.
+ */
 export class Attempt<T extends ICall> {
-  /** Number of the last event that was passed on, over all attempts. */
+  /** Id of the last event relayed to the client, by this attempt or an earlier one. */
   public lastEventId: number | undefined;
   public status: number | undefined;
   public firstByteAt: number | undefined;
 
-  /** Longest pause between two parts of the body in milliseconds. */
+  /** Longest time between two writes of the body to the client, in milliseconds. */
   public longestGapMs = 0;
 
   private _lastByteAt = 0;
   private _sentAt = 0;
-  private readonly _held: Buffer[] = [];
-  private _heldBytes = 0;
+  private readonly _buffered: Buffer[] = [];
+  private _bufferedBytes = 0;
   private readonly _framer: EventFramer | undefined;
   private readonly _finished: Promise<AttemptOutcome>;
   private _finish: (outcome: AttemptOutcome) => void = () => undefined;
   private _exchange: ITargetExchange | undefined;
   private _head: ITargetHead | undefined;
-  private _isOver = false;
-  /** True: the answer is read and dropped, because it says "not run" or is replaced. */
-  private _isDropped = false;
+  private _hasEnded = false;
+  /** True if the body is discarded: the request was not run, or another target will be tried. */
+  private _isDiscarded = false;
   private _isPaused = false;
 
   constructor(
@@ -105,43 +109,48 @@
     });
   }
 
-  /** Load that the target told with its answer. */
+  /** Load that the target reported in the head of its response. */
   public get load(): IToldLoad | undefined {
     return this._head?.load;
   }
 
-  /** True once a part of the answer's body has come. */
+  /** True once part of the response body has been received. */
   public get hasFirstByte(): boolean {
     return this.firstByteAt !== undefined;
   }
 
+  /** Sends the request and waits until the attempt has ended. */
   public async run(): Promise<AttemptOutcome> {
     const { clock, client } = this._context;
-    const { state, pendingTokens, isLong, endsAt, target, dispatch } = this._options;
+    const { state, pendingTokens, isLongStream, deadlineAt, target, dispatch } = this._options;
     const { signal } = this._call;
-    const leftMs = endsAt - clock.now();
+    const remainingMs = deadlineAt - clock.now();
     state.open += 1;
     state.pendingTokens += pendingTokens;
-    state.longStreams += isLong ? 1 : 0;
-    const timer = setTimeout(
+    state.longStreams += isLongStream ? 1 : 0;
+    const deadlineTimer = setTimeout(
       () => {
         this._end({ kind: 'ended', reason: 'time limit' });
       },
-      Math.max(0, leftMs),
+      Math.max(0, remainingMs),
     );
     this._sentAt = clock.now();
-    const watch = setInterval(() => {
+    const silenceTimer = setInterval(() => {
       this._checkSilence();
-    }, SILENCE_CHECK_MS);
-    const leave = (): void => {
+    }, SILENCE_CHECK_INTERVAL_MS);
+    const handleAbort = (): void => {
       this._end({ kind: 'ended', reason: 'client left' });
     };
-    signal.addEventListener('abort', leave, { once: true });
+    signal.addEventListener('abort', handleAbort, { once: true });
     try {
       this._exchange = client.send(
         target,
         this._call,
-        { ...dispatch, deadlineMs: Math.max(1, Math.floor(leftMs)), resumeAfter: this.lastEventId },
+        {
+          ...dispatch,
+          deadlineMs: Math.max(1, Math.floor(remainingMs)),
+          resumeAfter: this.lastEventId,
+        },
         {
           onHead: (head) => {
             this._handleHead(head);
@@ -158,53 +167,58 @@
         },
       );
       if (signal.aborted) {
-        leave();
+        handleAbort();
       }
       return await this._finished;
     } finally {
-      clearTimeout(timer);
-      clearInterval(watch);
-      signal.removeEventListener('abort', leave);
+      clearTimeout(deadlineTimer);
+      clearInterval(silenceTimer);
+      signal.removeEventListener('abort', handleAbort);
       state.open -= 1;
-      state.longStreams -= isLong ? 1 : 0;
+      state.longStreams -= isLongStream ? 1 : 0;
       if (!this.hasFirstByte) {
         state.pendingTokens -= pendingTokens;
       }
     }
   }
 
-  /** Ends the attempt and, if the target is still at it, the exchange. */
+  /** Ends the attempt and aborts the exchange with the target. */
   private _end(outcome: AttemptOutcome): void {
-    if (this._isOver) {
+    if (this._hasEnded) {
       return;
     }
-    this._isOver = true;
+    this._hasEnded = true;
     this._exchange?.abort();
     this._finish(outcome);
   }
 
-  /** Leaves a target that has gone silent; others are warned of it in any case. */
+  /** Starts a cooldown of a silent target, also when this request may not fail over to another one. */
   private _checkSilence(): void {
-    const { state, expectedMs, mayMove } = this._options;
+    const { state, expectedMs, mayFailOver } = this._options;
     const now = this._context.clock.now();
     const lastByteAt = this._lastByteAt > 0 ? this._lastByteAt : undefined;
-    const view = { sentAt: this._sentAt, expectedMs, lastByteAt, aliveAt: state.aliveAt };
+    const view = {
+      sentAt: this._sentAt,
+      expectedMs,
+      lastByteAt,
+      lastActivityAt: state.lastActivityAt,
+    };
     if (this._isPaused || !isSilent(view, now)) {
       return;
     }
-    if (mayMove) {
+    if (mayFailOver) {
       this._end({ kind: 'failed', reason: 'the target is silent' });
     }
-    noteUnreachable(state, now);
+    recordUnreachable(state, now);
   }
 
   private _handleHead(head: ITargetHead): void {
-    this._options.state.aliveAt = this._context.clock.now();
-    if (this._isOver) {
+    this._options.state.lastActivityAt = this._context.clock.now();
+    if (this._hasEnded) {
       return;
     }
     if (!head.isOwn) {
-      this._end({ kind: 'failed', reason: 'answer to another request' });
+      this._end({ kind: 'failed', reason: 'the response belongs to another request' });
       return;
     }
     const { state, mayReplaceError } = this._options;
@@ -212,31 +226,31 @@
     this._head = head;
     this.status = head.status;
     if (head.load !== undefined) {
-      noteLoad(state, head.load, now);
+      recordLoad(state, head.load, now);
     }
-    this._isDropped =
+    this._isDiscarded =
       head.isNotRun ||
       head.isOtherTarget ||
-      (mayReplaceError && head.status >= FIRST_ERROR_STATUS && !this._sink.isStarted);
-    // An answer that goes on where another target stopped must be one of the same kind.
-    if (this._sink.isStarted && !this._isDropped && head.status !== 200) {
-      this._end({ kind: 'failed', reason: `status ${head.status} to a resumed stream` });
+      (mayReplaceError && head.status >= MIN_SERVER_ERROR_STATUS && !this._sink.isStarted);
+    // The client has already received a status of 200, so only such a response can resume the stream.
+    if (this._sink.isStarted && !this._isDiscarded && head.status !== 200) {
+      this._end({ kind: 'failed', reason: `status ${head.status} when resuming a stream` });
     }
   }
 
   private _handleData(chunk: Buffer): void {
-    this._options.state.aliveAt = this._context.clock.now();
-    if (this._isOver || this._isDropped || chunk.length === 0) {
+    this._options.state.lastActivityAt = this._context.clock.now();
+    if (this._hasEnded || this._isDiscarded || chunk.length === 0) {
       return;
     }
     if (this._framer === undefined || !this._isSuccess()) {
-      this._noteFirstByte();
-      this._holdOrWrite(chunk);
+      this._recordFirstByte();
+      this._enqueueOrWrite(chunk);
       return;
     }
     const { bytes, lastId } = this._framer.push(chunk);
     if (bytes.length > 0) {
-      this._noteFirstByte();
+      this._recordFirstByte();
       this._startSink();
       this._write(bytes);
       TEST_ONLY: if (isBroken('event-number')) return;
@@ -245,36 +259,36 @@
   }
 
   private _handleEnd(): void {
-    if (this._isOver) {
+    if (this._hasEnded) {
       return;
     }
-    this._isOver = true;
-    if (this._isDropped) {
-      this._finish(this._describeDropped());
+    this._hasEnded = true;
+    if (this._isDiscarded) {
+      this._finish(this._describeDiscarded());
       return;
     }
     this._startSink();
-    for (const chunk of this._held) {
+    for (const chunk of this._buffered) {
       this._sink.write(chunk);
     }
-    const rest = this._framer?.rest;
-    if (rest !== undefined && rest.length > 0) {
-      this._sink.write(rest);
+    const incomplete = this._framer?.incomplete;
+    if (incomplete !== undefined && incomplete.length > 0) {
+      this._sink.write(incomplete);
     }
     this._sink.end();
     if (this._isSuccess()) {
-      noteGood(this._options.state);
+      recordSuccess(this._options.state);
     }
     this._finish({ kind: 'answered' });
   }
 
   private _handleError(reason: string, wasSent: boolean): void {
-    if (this._isOver) {
+    if (this._hasEnded) {
       return;
     }
-    this._isOver = true;
-    if (this._isDropped) {
-      this._finish(this._describeDropped());
+    this._hasEnded = true;
+    if (this._isDiscarded) {
+      this._finish(this._describeDiscarded());
     } else if (wasSent) {
       this._finish({ kind: 'failed', reason });
     } else {
@@ -282,10 +296,10 @@
     }
   }
 
-  private _describeDropped(): AttemptOutcome {
+  private _describeDiscarded(): AttemptOutcome {
     const head = this._head;
     if (head?.isOtherTarget === true) {
-      return { kind: 'not_run', reason: 'other target', isUnreachable: true };
+      return { kind: 'not_run', reason: 'another target has this address', isUnreachable: true };
     }
     return head?.isNotRun === true
       ? {
@@ -300,7 +314,7 @@
     return this._head !== undefined && this._head.status < 300;
   }
 
-  private _noteFirstByte(): void {
+  private _recordFirstByte(): void {
     if (this.hasFirstByte) {
       return;
     }
@@ -323,22 +337,29 @@
     }
   }
 
-  /** Holds the answer to a safe request back until it is whole, so that another target may replace it. */
-  private _holdOrWrite(chunk: Buffer): void {
+  /**
+   * Buffers the response to a safe request until it is complete, so that the request can be retried at
+   * another target. Responses that exceed the buffer are streamed.
+   */
+  private _enqueueOrWrite(chunk: Buffer): void {
     const { route } = this._options;
-    this._heldBytes += chunk.length;
-    if (route.kind === 'safe' && !this._sink.isStarted && this._heldBytes <= MAX_HELD_BYTES) {
-      this._held.push(chunk);
+    this._bufferedBytes += chunk.length;
+    if (
+      route.kind === 'safe' &&
+      !this._sink.isStarted &&
+      this._bufferedBytes <= MAX_BUFFERED_BYTES
+    ) {
+      this._buffered.push(chunk);
       return;
     }
     this._startSink();
-    for (const held of this._held.splice(0)) {
-      this._write(held);
+    for (const buffered of this._buffered.splice(0)) {
+      this._write(buffered);
     }
     this._write(chunk);
   }
 
-  /** Passes bytes on; a slow client pauses the target. */
+  /** Writes to the client. Pauses the target while the client reads too slowly. */
   private _write(bytes: Uint8Array): void {
     const now = this._context.clock.now();
     if (this._lastByteAt > 0) {
--- a/src/gateway/CallRunner.test.ts
+++ b/src/gateway/CallRunner.test.ts
@@ -1,4 +1,7 @@
-/** Guards the promises of the data path: at most once, true refusals, whole and ordered streams. */
+/**
+ * Guards the guarantees of the request path: unsafe requests run at most once, "not run" is stated only if
+ * it is certain, and streams arrive complete and in order.
+ */
 import { create } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import { MonotonicClock } from '../common/Clock.js';
@@ -25,8 +28,8 @@
   ITargetListener,
 } from './Types.js';
 
-/** What a target does with one request. */
-type Script = (listener: ITargetListener, dispatch: IDispatch) => void;
+/** Behaviour of a target for one request. */
+type TargetScript = (listener: ITargetListener, dispatch: IDispatch) => void;
 
 const OK_HEAD: ITargetHead = {
   status: 200,
@@ -36,14 +39,14 @@
   isOtherTarget: false,
   load: undefined,
 };
-const FULL_HEAD: ITargetHead = { ...OK_HEAD, status: 503, isNotRun: true };
+const BUSY_HEAD: ITargetHead = { ...OK_HEAD, status: 503, isNotRun: true };
 
-/** Plays one script after the other and records what was sent. */
-class ScriptedTargets implements ITargetClient<ICall> {
+/** Runs the next script for each request and records the dispatches. */
+class ScriptedTargetClient implements ITargetClient<ICall> {
   public readonly sent: { readonly target: string; readonly dispatch: IDispatch }[] = [];
   public aborted = 0;
 
-  constructor(private readonly _scripts: Script[]) {}
+  constructor(private readonly _scripts: TargetScript[]) {}
 
   public send(
     target: TargetRecord,
@@ -105,20 +108,20 @@
   readonly route?: Partial<IRoute>;
   readonly call?: Partial<ICall>;
   readonly targets?: number;
-  /** True: the process has just started and knows no configuration. */
+  /** True if the process has not received a configuration yet. */
   readonly isUnconfigured?: boolean;
-  /** Version named for the model, and for how long it has been known. */
+  /** Version named for the model, and how long ago this entry learned of it. */
   readonly named?: { readonly version: number; readonly knownMs: number };
-  /** Versions of the targets' weights; 1 where it names none. */
+  /** Weights versions of the targets in order; the default is 1. */
   readonly held?: readonly number[];
 }
 
-interface IPlayed {
+interface IRunResult {
   readonly sink: RecordingSink;
-  readonly targets: ScriptedTargets;
+  readonly targets: ScriptedTargetClient;
 }
 
-async function play(scripts: Script[], setup: ISetup = {}): Promise<IPlayed> {
+async function runCall(scripts: TargetScript[], setup: ISetup = {}): Promise<IRunResult> {
   const clock = new MonotonicClock();
   const configuration = buildConfiguration({
     routes: [buildRoute(setup.route)],
@@ -135,7 +138,7 @@
   if (setup.named !== undefined) {
     view.weights.note('m', setup.named.version, clock.now() - setup.named.knownMs);
   }
-  const targets = new ScriptedTargets(scripts);
+  const targets = new ScriptedTargetClient(scripts);
   const runner = new CallRunner<ICall>({
     view,
     node: { awaitExchange: () => Promise.resolve(true) },
@@ -180,22 +183,22 @@
   return Buffer.from(ids.map((id) => `id: ${id}\ndata: ${id}\n\n`).join(''));
 }
 
-const answerOk: Script = (listener) => {
+const answerOk: TargetScript = (listener) => {
   listener.onHead(OK_HEAD);
   listener.onData(streamEvents(1, 3));
   listener.onEnd();
 };
-const refuseFull: Script = (listener) => {
-  listener.onHead(FULL_HEAD);
+const refuseBusy: TargetScript = (listener) => {
+  listener.onHead(BUSY_HEAD);
   listener.onEnd();
 };
-const resetAfterSend: Script = (listener) => {
+const resetAfterSend: TargetScript = (listener) => {
   listener.onError('reset', true);
 };
-const refuseConnection: Script = (listener) => {
+const refuseConnection: TargetScript = (listener) => {
   listener.onError('connection refused', false);
 };
-const staySilent: Script = () => undefined;
+const staySilent: TargetScript = () => undefined;
 
 const UNSAFE: Partial<IRoute> = { kind: 'unsafe', isResumable: false, maxAttempts: 3 };
 
@@ -203,145 +206,148 @@
   it.each([
     ['configuration', { isUnconfigured: true }],
     ['target', { targets: 0 }],
-  ])('common stop: asks clients to come back when there is a %s again', async (_name, setup) => {
-    const { sink } = await play([], setup);
-    expect(sink.status).toBe(503);
-    // A process finds the leader and its targets announce themselves about 0.8 s after its start.
-    expect(sink.retryAfterMs).toBeGreaterThanOrEqual(800);
-  });
+  ])(
+    'after a restart of all processes: Retry-After lasts until there is a %s',
+    async (_name, setup) => {
+      const { sink } = await runCall([], setup);
+      expect(sink.status).toBe(503);
+      // About 0.8 s after its start a process has found the leader and the targets have announced themselves.
+      expect(sink.retryAfterMs).toBeGreaterThanOrEqual(800);
+    },
+  );
 
-  it('passes on the answer of a target', async () => {
-    const { sink } = await play([answerOk]);
+  it('relays the response of a target', async () => {
+    const { sink } = await runCall([answerOk]);
     expect(sink).toMatchObject({ status: 200, ending: 'end' });
     expect(sink.body).toBe(streamEvents(1, 3).toString());
   });
 
-  it('sends an unsafe request to no second target once the first may have run it', async () => {
-    const { sink, targets } = await play([resetAfterSend, answerOk], { route: UNSAFE });
+  it('does not retry an unsafe request that the first target may have run', async () => {
+    const { sink, targets } = await runCall([resetAfterSend, answerOk], { route: UNSAFE });
     expect(targets.sent).toHaveLength(1);
     expect(sink).toMatchObject({ status: 502, ending: 'refuse' });
   });
 
-  it('sends an unsafe request on when the target says that it did not run it', async () => {
-    const { sink, targets } = await play([refuseFull, answerOk], { route: UNSAFE });
+  it('retries an unsafe request if the target states that it did not run it', async () => {
+    const { sink, targets } = await runCall([refuseBusy, answerOk], { route: UNSAFE });
     expect(targets.sent.map(({ target }) => target)).toHaveLength(2);
     expect(sink.status).toBe(200);
   });
 
-  it('says "not run" only if no target can have run the request', async () => {
-    const refused = await play([refuseFull, refuseFull, refuseFull], { route: UNSAFE });
+  it('reports "not run" only if no target can have run the request', async () => {
+    const refused = await runCall([refuseBusy, refuseBusy, refuseBusy], { route: UNSAFE });
     expect(refused.sink).toMatchObject({ status: 503, ending: 'refuse' });
     expect(refused.sink.retryAfterMs).toBeGreaterThan(0);
-    const unknown = await play([resetAfterSend, refuseFull], {
+    const unknown = await runCall([resetAfterSend, refuseBusy], {
       route: { kind: 'safe', maxAttempts: 2 },
     });
     expect(unknown.sink.status).toBe(502);
   });
 
-  it('does not count targets that were not reached as attempts', async () => {
-    const { sink, targets } = await play([refuseConnection, refuseConnection, answerOk], {
+  it('does not count unreachable targets as attempts', async () => {
+    const { sink, targets } = await runCall([refuseConnection, refuseConnection, answerOk], {
       route: { ...UNSAFE, maxAttempts: 1 },
     });
     expect(targets.sent).toHaveLength(3);
     expect(sink.status).toBe(200);
   });
 
-  it('keeps to the attempts that the route allows', async () => {
-    const { targets } = await play([refuseFull, refuseFull, refuseFull], {
+  it('makes no more attempts than the route allows', async () => {
+    const { targets } = await runCall([refuseBusy, refuseBusy, refuseBusy], {
       route: { maxAttempts: 2 },
     });
     expect(targets.sent).toHaveLength(2);
   });
 
-  it('goes on after the last whole event at another target', async () => {
-    const breakMidway: Script = (listener) => {
+  it('resumes a broken stream at another target after the last complete event', async () => {
+    const breakMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents(1, 2));
       listener.onData(Buffer.from('id: 3\nda'));
       listener.onError('reset', true);
     };
-    const goOn: Script = (listener, dispatch) => {
+    const goOn: TargetScript = (listener, dispatch) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents((dispatch.resumeAfter ?? 0) + 1, 5));
       listener.onEnd();
     };
-    const { sink } = await play([breakMidway, goOn]);
+    const { sink } = await runCall([breakMidway, goOn]);
     expect(sink).toMatchObject({ body: streamEvents(1, 5).toString(), ending: 'end' });
   });
 
-  it('cuts a broken stream that may not be resumed', async () => {
-    const breakMidway: Script = (listener) => {
+  it('aborts a broken stream if the route is not resumable', async () => {
+    const breakMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents(1, 2));
       listener.onError('reset', true);
     };
-    const { sink, targets } = await play([breakMidway, answerOk], {
+    const { sink, targets } = await runCall([breakMidway, answerOk], {
       route: { isResumable: false },
     });
     expect(targets.sent).toHaveLength(1);
     expect(sink).toMatchObject({ ending: 'cut' });
   });
 
-  it('joins no two answers to a safe request', async () => {
-    const breakMidway: Script = (listener) => {
+  it('does not concatenate parts of two responses to a safe request', async () => {
+    const breakMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(Buffer.from('half of'));
       listener.onError('reset', true);
     };
-    const answerWhole: Script = (listener) => {
+    const answerWhole: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(Buffer.from('the whole'));
       listener.onEnd();
     };
-    const { sink } = await play([breakMidway, answerWhole], { route: { kind: 'safe' } });
+    const { sink } = await runCall([breakMidway, answerWhole], { route: { kind: 'safe' } });
     expect(sink).toMatchObject({ status: 200, body: 'the whole', ending: 'end' });
   });
 
-  it('cuts a long answer to a safe request that breaks after it was begun', async () => {
-    const breakLate: Script = (listener) => {
+  it('aborts a response to a safe request that breaks after it has exceeded the buffer', async () => {
+    const breakLate: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(Buffer.alloc(100_000));
       listener.onError('reset', true);
     };
-    const { sink, targets } = await play([breakLate, answerOk], { route: { kind: 'safe' } });
+    const { sink, targets } = await runCall([breakLate, answerOk], { route: { kind: 'safe' } });
     expect(targets.sent).toHaveLength(1);
     expect(sink.ending).toBe('cut');
   });
 
-  it('passes on no answer to another request', async () => {
-    const answerOther: Script = (listener) => {
+  it('never relays a response that belongs to another request', async () => {
+    const answerOther: TargetScript = (listener) => {
       listener.onHead({ ...OK_HEAD, isOwn: false });
       listener.onData(streamEvents(1, 3));
       listener.onEnd();
     };
-    const { sink, targets } = await play([answerOther], { route: UNSAFE });
+    const { sink, targets } = await runCall([answerOther], { route: UNSAFE });
     expect(sink).toMatchObject({ status: 502, body: '' });
     expect(targets.aborted).toBe(1);
   });
 
-  it('answers at the limit and takes the request back from the target', async () => {
-    const { sink, targets } = await play([staySilent], { call: { deadlineMs: 60 } });
+  it('responds with 504 at the deadline and cancels the request at the target', async () => {
+    const { sink, targets } = await runCall([staySilent], { call: { deadlineMs: 60 } });
     expect(sink).toMatchObject({ status: 504, ending: 'refuse' });
     expect(targets.aborted).toBe(1);
   });
 
-  it('hands targets no more time than is left', async () => {
-    const { targets } = await play([answerOk], { route: { timeoutMs: 200 } });
+  it('limits the deadline of a dispatch to the remaining time', async () => {
+    const { targets } = await runCall([answerOk], { route: { timeoutMs: 200 } });
     expect(targets.sent[0]?.dispatch.deadlineMs).toBeLessThanOrEqual(200);
   });
 
-  it('takes the request back when the client leaves', async () => {
+  it('cancels the request at the target when the client disconnects', async () => {
     const left = new AbortController();
     setTimeout(() => {
       left.abort();
     }, 20);
-    const { sink, targets } = await play([staySilent], { call: { signal: left.signal } });
+    const { sink, targets } = await runCall([staySilent], { call: { signal: left.signal } });
     expect(targets.aborted).toBe(1);
     expect(sink.ending).toBe('open');
   });
 
-  it('keeps isolated client accounts and weights apart in the cache', async () => {
-    const { targets } = await play([answerOk]);
+  it('separates isolated client accounts and weights versions in the cache scope', async () => {
+    const { targets } = await runCall([answerOk]);
     expect(targets.sent[0]?.dispatch).toMatchObject({
       cacheScope: '1/pag',
       weightsVersion: 1,
@@ -349,16 +355,16 @@
     });
   });
 
-  it('serves on replaced weights while no target has newer ones, up to the limit', async () => {
-    const early = await play([answerOk], { named: { version: 2, knownMs: 7_000 } });
+  it('uses old weights while no target has newer ones, up to the hard limit', async () => {
+    const early = await runCall([answerOk], { named: { version: 2, knownMs: 7_000 } });
     expect(early.sink.status).toBe(200);
-    const late = await play([answerOk], { named: { version: 2, knownMs: 9_000 } });
+    const late = await runCall([answerOk], { named: { version: 2, knownMs: 9_000 } });
     expect(late.sink).toMatchObject({ status: 503, ending: 'refuse' });
     expect(late.targets.sent).toEqual([]);
   });
 
-  it('passes over targets with weights replaced long ago while another is left', async () => {
-    const { targets } = await play([answerOk], {
+  it('skips targets whose weights exceed the soft limit if there is another target', async () => {
+    const { targets } = await runCall([answerOk], {
       named: { version: 2, knownMs: 7_000 },
       held: [1, 1, 2],
     });
@@ -369,8 +375,8 @@
     ['an unknown route', { call: { path: '/nowhere/' } }, 404],
     ['an unknown key', { call: { key: 'nobody' } }, 401],
     ['no target', { targets: 0 }, 503],
-  ])('refuses %s at once', async (_name, setup, status) => {
-    const { sink, targets } = await play([], setup);
+  ])('refuses a request with %s immediately', async (_name, setup, status) => {
+    const { sink, targets } = await runCall([], setup);
     expect(sink.status).toBe(status);
     expect(targets.sent).toEqual([]);
   });
--- a/src/gateway/CallRunner.ts
+++ b/src/gateway/CallRunner.ts
@@ -1,4 +1,4 @@
-/** Carries one request through: route, client account, quota, targets, answer. */
+/** Runs one call: routing, authentication, quota, choice of targets, retries and the final response. */
 import type { IClock } from '../common/Clock.js';
 import type { ILog } from '../common/Log.js';
 import type { Metrics } from '../common/Metrics.js';
@@ -19,55 +19,55 @@
 import type { PromptSource } from './PromptSources.js';
 import {
   LONG_STREAM_TOKENS,
-  noteBusy,
-  noteFirstByte,
-  noteFailure,
-  noteUnreachable,
+  recordBusy,
+  recordFirstByte,
+  recordFailure,
+  recordUnreachable,
   type TargetStates,
 } from './TargetStates.js';
 import { decideOverload } from './Overload.js';
 import type { StoreIndex } from './StoreIndex.js';
 import type { IAnswerSink, ICall, IDispatch, ITargetClient, RefusalReason } from './Types.js';
 
-/** A request waits this long for tokens that the hub may grant. */
+/** Longest time that a request waits for the hub to grant quota tokens. */
 const QUOTA_WAIT_MS = 150;
 
 /**
- * Retry-After while the configuration is not known or no target exists, in milliseconds. After a common
- * stop both come about 0.8 s after the start of a process, and many clients come back only once.
+ * Retry-After while there is no configuration or no target. When all processes restart together, both
+ * arrive about 0.8 s after the start of a process, and many clients retry only once.
  */
-const NOT_READY_RETRY_MS = 1_000;
+const NOT_READY_RETRY_AFTER_MS = 1_000;
 
-/** Retry-After of a request that targets turned away. */
-const TURNED_AWAY_RETRY_MS = 250;
+/** Retry-After of a request that all tried targets refused. */
+const TARGETS_BUSY_RETRY_AFTER_MS = 250;
 
-/** Retry-After at least this long, so that a refused client does not hammer. */
-const MIN_RETRY_MS = 50;
+/** Lower bound of every Retry-After, so that clients do not retry in a tight loop. */
+const MIN_RETRY_AFTER_MS = 50;
 
-/** Without a client's own limit a request may take this long. */
+/** Time limit of a request whose client sets none. */
 const DEFAULT_DEADLINE_MS = 60_000;
 
-/** Least time that a further target must have left to be worth trying. */
+/** A further target is tried only if at least this much time remains until the deadline. */
 const MIN_ATTEMPT_MS = 30;
 
-/** Shared parts below this size are not worth a fetch from a store. */
+/** Shared prompt parts with fewer tokens in total are not sent to the store: a fetch would not pay off. */
 const MIN_STORED_TOKENS = 50;
 
-/** Targets that were not reached don't count as tried; this many end the search. */
-const MAX_UNREACHED = 3;
+/** Unreachable targets do not count as attempts; with more than this many the call ends. */
+const MAX_UNREACHABLE_TARGETS = 3;
 
-/** Rank of the least urgent requests at a target. */
+/** Priority of the least urgent requests; 0 is the most urgent. */
 const LOWEST_PRIORITY = 9;
 
-/** How long a request may begin on weights after newer ones were named, in milliseconds. */
+/** How long a target with old weights still gets requests after newer weights were named. */
 export interface IWeightsLimits {
-  /** After this time a target is passed over if another one is left. */
+  /** After this time such a target is used only if no other one is left. */
   readonly softMs: number;
-  /** After this time it gets no request. */
+  /** After this time it gets no requests. */
   readonly hardMs: number;
 }
 
-/** Parts of the entry that a call needs. */
+/** Dependencies of the calls, shared by all of them. */
 export interface ICallContext<T extends ICall> {
   readonly view: FleetView;
   readonly node: Pick<FleetNode, 'awaitExchange'>;
@@ -84,46 +84,52 @@
   readonly weights: IWeightsLimits;
 }
 
-/** A call whose route and client account are known. */
-interface IAdmitted {
+/** Routing and quota of a call that passed admission. */
+interface IAdmittedCall {
   readonly table: RouteTable;
   readonly route: IRoute;
   readonly service: IService;
+  /** Client account that pays for the call; undefined on a public route. */
   readonly account: IClientAccount | undefined;
+  /** Quota tokens charged for the call. */
   readonly tokens: number;
-  readonly endsAt: number;
+  readonly deadlineAt: number;
 }
 
-/** Progress over all targets of one call. */
+/** Mutable state over all attempts of one call. */
 interface IProgress {
   readonly tried: Set<string>;
   attempts: number;
-  unreached: number;
-  /** Number of the last event that was passed on. */
+  unreachable: number;
+  /** Id of the last event relayed to the client. */
   lastEventId: number | undefined;
   /** True once a target may have run the request. */
   mayHaveRun: boolean;
 }
 
+/**
+ * Runs calls from their arrival to the final response. A request that a target may have run is sent to a
+ * second one only if its route allows that, and "not run" is reported only if no target can have run it.
+ */
 export class CallRunner<T extends ICall> {
   constructor(private readonly _context: ICallContext<T>) {}
 
-  /** Ends with exactly one final answer, or silently if the client left. */
+  /** Writes exactly one final response to the sink, or none if the client disconnects. */
   public async run(call: T, sink: IAnswerSink): Promise<void> {
     const admitted = await this._admit(call, sink);
     if (admitted === undefined) {
       return;
     }
-    this._context.budget.noteRequest(pickName(admitted.route), call.arrivedAt);
+    this._context.budget.noteRequest(getFirstServiceName(admitted.route), call.arrivedAt);
     const progress: IProgress = {
       tried: new Set(),
       attempts: 0,
-      unreached: 0,
+      unreachable: 0,
       lastEventId: call.resumeAfter,
       mayHaveRun: false,
     };
-    const didRun = await this._runAttempts(call, sink, admitted, progress);
-    if (!didRun && admitted.account !== undefined) {
+    const isQuotaSpent = await this._runAttempts(call, sink, admitted, progress);
+    if (!isQuotaSpent && admitted.account !== undefined) {
       this._context.wallet.refund(
         admitted.account.name,
         admitted.tokens,
@@ -132,10 +138,11 @@
     }
   }
 
-  private async _admit(call: T, sink: IAnswerSink): Promise<IAdmitted | undefined> {
+  /** Finds the route and client account and charges the quota; undefined if the call was refused. */
+  private async _admit(call: T, sink: IAnswerSink): Promise<IAdmittedCall | undefined> {
     const { table } = this._context.view;
     if (table === undefined) {
-      this._refuse(call, sink, 503, 'no_configuration', NOT_READY_RETRY_MS);
+      this._refuse(call, sink, 503, 'no_configuration', NOT_READY_RETRY_AFTER_MS);
       return;
     }
     const route = table.findRoute(call.host, call.path);
@@ -151,18 +158,19 @@
     const payer = route.isPublic ? undefined : account;
     const tokens = countTokens(call, payer);
     const limitMs = Math.min(call.deadlineMs ?? DEFAULT_DEADLINE_MS, route.timeoutMs);
-    const admitted: IAdmitted = {
+    const admitted: IAdmittedCall = {
       table,
       route,
       service: pickService(table, route, call.id),
       account: payer,
       tokens,
-      endsAt: call.arrivedAt + limitMs,
+      deadlineAt: call.arrivedAt + limitMs,
     };
     return (await this._spendQuota(call, sink, admitted)) ? admitted : undefined;
   }
 
-  private async _spendQuota(call: T, sink: IAnswerSink, admitted: IAdmitted): Promise<boolean> {
+  /** Charges the client account, waiting for a grant if needed; false if the call was refused. */
+  private async _spendQuota(call: T, sink: IAnswerSink, admitted: IAdmittedCall): Promise<boolean> {
     const { account, tokens } = admitted;
     if (account === undefined || account.tokensPerSecond <= 0) {
       return true;
@@ -175,12 +183,12 @@
     let outcome = wallet.trySpend(account.name, tokens, limits, clock.now());
     const giveUpAt = clock.now() + QUOTA_WAIT_MS;
     while (outcome.kind === 'ask') {
-      const leftMs = giveUpAt - clock.now();
-      if (leftMs <= 0 || call.signal.aborted) {
+      const remainingMs = giveUpAt - clock.now();
+      if (remainingMs <= 0 || call.signal.aborted) {
         outcome = { kind: 'over', retryAfterMs: QUOTA_WAIT_MS };
         break;
       }
-      await node.awaitExchange(leftMs, call.signal);
+      await node.awaitExchange(remainingMs, call.signal);
       outcome = wallet.retrySpend(account.name, tokens, limits, clock.now());
     }
     if (outcome.kind === 'over') {
@@ -191,11 +199,11 @@
     return true;
   }
 
-  /** Tries targets until the call has its final answer. True if the call's tokens are spent. */
+  /** Tries targets until the call has its final response. Returns false if its tokens are to be refunded. */
   private async _runAttempts(
     call: T,
     sink: IAnswerSink,
-    admitted: IAdmitted,
+    admitted: IAdmittedCall,
     progress: IProgress,
   ): Promise<boolean> {
     for (;;) {
@@ -204,10 +212,10 @@
         this._context.log.info('client left', { request: call.id, attempts: progress.attempts });
         return progress.mayHaveRun;
       }
-      const request = this._describe(call, admitted);
+      const request = this._describeRequest(call, admitted);
       const placement = this._place(call, admitted, request, progress, now);
       if (placement === undefined) {
-        this._finishWithout(call, sink, progress, 'no_target');
+        this._finishUnanswered(call, sink, progress, 'no_target');
         return progress.mayHaveRun;
       }
       if (this._refuseOverload(call, sink, admitted, placement, progress)) {
@@ -222,11 +230,11 @@
     }
   }
 
-  /** Refuses a request that no target is expected to answer in time; true if it did. */
+  /** Refuses a request that even the best target is expected to answer too late; true if refused. */
   private _refuseOverload(
     call: T,
     sink: IAnswerSink,
-    admitted: IAdmitted,
+    admitted: IAdmittedCall,
     placement: IPlacement,
     progress: IProgress,
   ): boolean {
@@ -234,8 +242,8 @@
       return false;
     }
     const { objectiveMs } = admitted.route;
-    const { expectedMs, workMs, target } = placement;
-    const decision = decideOverload(expectedMs, workMs, objectiveMs);
+    const { expectedMs, serviceMs, target } = placement;
+    const decision = decideOverload(expectedMs, serviceMs, objectiveMs);
     if (decision.kind === 'serve') {
       return false;
     }
@@ -244,9 +252,10 @@
     return true;
   }
 
+  /** Chooses a target that was not tried yet, outside its cooldown if possible; undefined without one. */
   private _place(
     call: T,
-    admitted: IAdmitted,
+    admitted: IAdmittedCall,
     request: IPlacementRequest,
     progress: IProgress,
     now: number,
@@ -254,25 +263,26 @@
     const { view, states, placement } = this._context;
     const all = view.listTargets(admitted.service.name);
     const untried = all.filter((record) => !progress.tried.has(record.id));
-    const fresh = this._filterByWeights(call, untried, now);
-    const targets = fresh.map((record): IPlacementTarget => {
+    const eligible = this._filterByWeights(call, untried, now);
+    const targets = eligible.map((record): IPlacementTarget => {
       const others = view.getOthersWork(record.id);
       return {
         record,
         state: states.ensure(record, now),
         othersOpen: others.open,
-        othersTokens: others.pendingTokens,
+        othersPendingTokens: others.pendingTokens,
       };
     });
-    const rested = targets.filter(({ state }) => now >= state.restUntil);
+    const available = targets.filter(({ state }) => now >= state.cooldownUntil);
     return placement.choose(
       request,
-      rested.length > 0 ? rested : targets,
+      available.length > 0 ? available : targets,
       this._context.store,
       now,
     );
   }
 
+  /** Keeps the targets whose weights are within the soft limit or, without one, within the hard limit. */
   private _filterByWeights(
     call: T,
     targets: readonly TargetRecord[],
@@ -283,22 +293,22 @@
     if (model === undefined) {
       return targets;
     }
-    const softDue = view.weights.getDue(model, weights.softMs, now);
-    const preferred = targets.filter((record) => hasVersion(record, model, softDue));
+    const softMinVersion = view.weights.getDue(model, weights.softMs, now);
+    const preferred = targets.filter((record) => hasMinVersion(record, model, softMinVersion));
     if (preferred.length > 0) {
       return preferred;
     }
-    const hardDue = view.weights.getDue(model, weights.hardMs, now);
-    return targets.filter((record) => hasVersion(record, model, hardDue));
+    const hardMinVersion = view.weights.getDue(model, weights.hardMs, now);
+    return targets.filter((record) => hasMinVersion(record, model, hardMinVersion));
   }
 
-  private _describe(call: T, { account, route, service }: IAdmitted): IPlacementRequest {
+  private _describeRequest(call: T, { account, route, service }: IAdmittedCall): IPlacementRequest {
     return {
       parts: service.engine === undefined ? [] : call.parts,
       promptTokens: call.promptTokens ?? 0,
       outputTokens: call.lengthHint ?? call.outputTokens ?? 0,
       objectiveMs: route.objectiveMs,
-      cacheWall: account?.isIsolated === true ? account.name : undefined,
+      isolationKey: account?.isIsolated === true ? account.name : undefined,
       isEngine: service.engine !== undefined,
       model: call.model,
       wantedVersion:
@@ -309,7 +319,7 @@
   private async _tryTarget(
     call: T,
     sink: IAnswerSink,
-    admitted: IAdmitted,
+    admitted: IAdmittedCall,
     request: IPlacementRequest,
     placement: IPlacement,
     progress: IProgress,
@@ -325,21 +335,21 @@
       target,
       state,
       route,
-      endsAt: admitted.endsAt,
+      deadlineAt: admitted.deadlineAt,
       lastEventId: progress.lastEventId,
       pendingTokens: Math.round(placement.missedTokens + (call.parts.at(-1)?.tokens ?? 0)),
       expectedMs: placement.expectedMs,
-      mayMove: mayRepeat(route) && progress.attempts < route.maxAttempts,
-      isLong: request.isEngine && request.outputTokens > LONG_STREAM_TOKENS,
+      mayFailOver: isRepeatable(route) && progress.attempts < route.maxAttempts,
+      isLongStream: request.isEngine && request.outputTokens > LONG_STREAM_TOKENS,
       mayReplaceError: route.kind === 'safe' && progress.attempts < route.maxAttempts,
       onFirstByte: (at) => {
-        placements.noteRead(request, target, at);
-        noteFirstByte(state, placement.modelMs, at - startedAt, at);
+        placements.recordReading(request, target, at);
+        recordFirstByte(state, placement.modelMs, at - startedAt, at);
       },
       dispatch: {
         clientAccount: account?.name,
         priority: Math.min(LOWEST_PRIORITY, Math.max(0, account?.priority ?? route.priority)),
-        ...describeCache(request, placement, this._context.store, clock.now()),
+        ...describeCacheUse(request, placement, this._context.store, clock.now()),
       },
     });
     const outcome = await attempt.run();
@@ -368,37 +378,37 @@
       version: admitted.table.version,
       viewAgeMs: Math.round(now - this._context.view.answeredAt),
     });
-    this._noteOutcome(target, outcome, now);
+    this._recordOutcome(target, outcome, now);
     return outcome;
   }
 
-  private _noteOutcome(target: TargetRecord, outcome: AttemptOutcome, now: number): void {
+  private _recordOutcome(target: TargetRecord, outcome: AttemptOutcome, now: number): void {
     const state = this._context.states.ensure(target, now);
     if (outcome.kind === 'not_run') {
       if (outcome.isUnreachable) {
-        noteUnreachable(state, now);
+        recordUnreachable(state, now);
       } else {
-        noteBusy(state, now);
+        recordBusy(state, now);
       }
     } else if (outcome.kind === 'failed') {
-      noteFailure(state, now);
+      recordFailure(state, now);
     }
   }
 
   private _shouldRetry(
     call: T,
     sink: IAnswerSink,
-    admitted: IAdmitted,
+    admitted: IAdmittedCall,
     outcome: AttemptOutcome,
     progress: IProgress,
   ): boolean {
     const { route, service } = admitted;
     const { clock, budget, view } = this._context;
     const now = clock.now();
-    if (call.signal.aborted || admitted.endsAt - now < MIN_ATTEMPT_MS) {
+    if (call.signal.aborted || admitted.deadlineAt - now < MIN_ATTEMPT_MS) {
       return false;
     }
-    // Only a stream can go on where it stopped; other bytes must not be joined.
+    // Only an event stream can be resumed. Parts of two other responses must never be concatenated.
     if (sink.isStarted && route.kind !== 'streaming') {
       return false;
     }
@@ -409,12 +419,12 @@
       case 'not_run':
         if (outcome.isUnreachable) {
           progress.attempts -= 1;
-          progress.unreached += 1;
-          return progress.unreached <= MAX_UNREACHED;
+          progress.unreachable += 1;
+          return progress.unreachable <= MAX_UNREACHABLE_TARGETS;
         }
         break;
       case 'failed':
-        if (!mayRepeat(route)) {
+        if (!isRepeatable(route)) {
           return false;
         }
         break;
@@ -450,12 +460,12 @@
         }
         return;
       case 'not_run':
-        this._finishWithout(call, sink, progress, 'not_run');
+        this._finishUnanswered(call, sink, progress, 'not_run');
     }
   }
 
-  /** Ends a call for which no further target is tried. */
-  private _finishWithout(
+  /** Ends a call that has no response and for which no further target is tried. */
+  private _finishUnanswered(
     call: T,
     sink: IAnswerSink,
     progress: IProgress,
@@ -469,7 +479,8 @@
     } else if (progress.mayHaveRun) {
       this._refuse(call, sink, 502, 'failed', undefined);
     } else {
-      const retryMs = reason === 'no_target' ? NOT_READY_RETRY_MS : TURNED_AWAY_RETRY_MS;
+      const retryMs =
+        reason === 'no_target' ? NOT_READY_RETRY_AFTER_MS : TARGETS_BUSY_RETRY_AFTER_MS;
       this._refuse(call, sink, 503, reason, retryMs);
     }
   }
@@ -483,7 +494,8 @@
     detail: Readonly<Record<string, unknown>> = {},
   ): undefined {
     const { clock, log, metrics, view } = this._context;
-    const retryMs = retryAfterMs === undefined ? undefined : Math.max(MIN_RETRY_MS, retryAfterMs);
+    const retryMs =
+      retryAfterMs === undefined ? undefined : Math.max(MIN_RETRY_AFTER_MS, retryAfterMs);
     log.info('refused', {
       request: call.id,
       status,
@@ -499,17 +511,17 @@
   }
 }
 
-/** Requests that may run more than once. */
-function mayRepeat(route: IRoute): boolean {
+/** True if requests of the route may run more than once. */
+function isRepeatable(route: IRoute): boolean {
   TEST_ONLY: if (isBroken('repeat-unsafe')) return true;
   return route.kind === 'safe' || (route.kind === 'streaming' && route.isResumable);
 }
 
 /**
- * Parts of other weights must not be found, also not where they were moved to, so the scope names the
- * weights and the target must still hold them.
+ * Cache fields of a dispatch. Prompt parts computed with other weights must never be found, also not after
+ * a transfer. The scope therefore contains the weights version, and the target must still hold it.
  */
-function describeCache(
+function describeCacheUse(
   request: IPlacementRequest,
   { target, source }: IPlacement,
   store: StoreIndex,
@@ -527,17 +539,17 @@
   const scope = formatCacheScope(request, target);
   const shared = request.parts.slice(0, -1);
   const isShared = shared.reduce((sum, part) => sum + part.tokens, 0) >= MIN_STORED_TOKENS;
-  const isMissing = shared.some((part) => !store.isExpected(scope, part.id, now));
+  const isMissing = shared.some((part) => !store.isHeldOrInTransit(scope, part.id, now));
   if (isShared && isMissing && store.address !== undefined) {
     shared.forEach((part) => {
-      store.noteSent(scope, part.id, now);
+      store.recordSent(scope, part.id, now);
     });
   }
   return {
     cacheScope: scope,
     weightsVersion: version,
     cacheSource: getSourceAddress(source, store),
-    // Also the own part of the prompt would go there, so only what is not held yet is sent.
+    // The target would also send the unshared last part, so the store is named only if it lacks a shared one.
     cacheStore: isShared && isMissing ? store.address : undefined,
   };
 }
@@ -553,31 +565,32 @@
   }
 }
 
-/** For the log. */
+/** Formats a source for the log: the id of the target, or `store`. */
 function formatSource(source: PromptSource | undefined): string | undefined {
   return source?.kind === 'target' ? source.record.id : source?.kind;
 }
 
-/** True also for targets that do not run the model: weights do not concern them. */
-function hasVersion(record: TargetRecord, model: string, version: number): boolean {
-  return (getHeldVersion(record, model) ?? version) >= version;
+/** True also for targets without the model, to which weights do not apply. */
+function hasMinVersion(record: TargetRecord, model: string, minVersion: number): boolean {
+  return (getHeldVersion(record, model) ?? minVersion) >= minVersion;
 }
 
+/** Quota tokens of a call; the account's default if the request states no token counts. */
 function countTokens(call: ICall, account: IClientAccount | undefined): number {
   return call.promptTokens === undefined && call.outputTokens === undefined
     ? (account?.defaultTokens ?? 0)
     : (call.promptTokens ?? 0) + (call.outputTokens ?? 0);
 }
 
-function pickName(route: IRoute): string {
+function getFirstServiceName(route: IRoute): string {
   return route.shares[0]?.service ?? '';
 }
 
-/** Splits a route's requests by weight; the same request always gets the same service. */
+/** Splits the requests of a route by weight; the same request id always selects the same service. */
 function pickService(table: RouteTable, route: IRoute, requestId: string): IService {
   const total = route.shares.reduce((sum, share) => sum + share.weight, 0);
   let point = (hashText(requestId) / 2 ** 32) * total;
-  let name = pickName(route);
+  let name = getFirstServiceName(route);
   for (const share of route.shares) {
     if (share.weight > 0) {
       name = share.service;
@@ -589,7 +602,9 @@
   }
   const service = table.getService(name);
   if (service === undefined) {
-    throw new Error(`route ${route.name} names service ${name}, which the configuration lacks`);
+    throw new Error(
+      `route "${route.name}" refers to service "${name}", which the configuration does not define`,
+    );
   }
   return service;
 }
--- a/src/gateway/EventFramer.test.ts
+++ b/src/gateway/EventFramer.test.ts
@@ -1,4 +1,7 @@
-/** Guards against streams in which a piece is torn, missing or doubled where two runs are joined. */
+/**
+ * Guards against torn, missing or duplicated events in a stream that is resumed at another target: these
+ * occur if part of an event is relayed before the first target fails.
+ */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { EventFramer } from './EventFramer.js';
@@ -6,7 +9,7 @@
 const EVENTS = ['id: 1\ndata: a\n\n', 'id: 2\ndata: b\ndata: c\n\n', 'id:3\r\ndata: d\r\n\r\n'];
 
 describe('EventFramer', () => {
-  it('passes on whole events only, however the bytes arrive', () => {
+  it('returns complete events only, wherever the chunks are split', () => {
     const text = EVENTS.join('');
     fc.assert(
       fc.property(fc.array(fc.nat({ max: text.length }), { maxLength: 12 }), (cuts) => {
@@ -27,11 +30,11 @@
     );
   });
 
-  it('keeps the bytes of an event that was cut off', () => {
+  it('buffers the bytes of an incomplete event', () => {
     const framer = new EventFramer();
     const { bytes, lastId } = framer.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
     expect(bytes.toString()).toBe('id: 1\ndata: a\n\n');
     expect(lastId).toBe(1);
-    expect(framer.rest.toString()).toBe('id: 2\nda');
+    expect(framer.incomplete.toString()).toBe('id: 2\nda');
   });
 });
--- a/src/gateway/EventFramer.ts
+++ b/src/gateway/EventFramer.ts
@@ -1,47 +1,53 @@
-/** Splits a stream of server-sent events so that only whole events are passed on. */
+/** Splits a stream of server-sent events at event boundaries. */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const EMPTY = Buffer.alloc(0);
 const ID_FIELD = /(?:^|\n)id:[ ]?(\d+)/g;
 
-/** Whole events of one chunk. */
-export interface IFramed {
+/** Complete events, as raw bytes. */
+export interface IFramedEvents {
   readonly bytes: Buffer;
-  /** Number of the last event among them; undefined if none has a number. */
+  /** Id of the last event that has a numeric id; undefined if none has one. */
   readonly lastId: number | undefined;
 }
 
 /**
- * Keeps the bytes after the last blank line until the event that they belong to is complete.
+ * Buffers the bytes of an incomplete event until the blank line that ends it arrives, so that only complete
+ * events are relayed and a broken stream can be resumed after the last of them.
  *
  * @example
  * const framer = new EventFramer();
  * const { bytes, lastId } = framer.push(chunk);
  */
 export class EventFramer {
-  private _rest: Buffer = EMPTY;
+  private _incomplete: Buffer = EMPTY;
 
-  /** Bytes of an event that is not complete. */
-  public get rest(): Buffer {
-    return this._rest;
+  /** Buffered bytes of an incomplete event. */
+  public get incomplete(): Buffer {
+    return this._incomplete;
   }
 
-  public push(chunk: Buffer): IFramed {
-    const all = this._rest.length === 0 ? chunk : Buffer.concat([this._rest, chunk]);
+  /** Returns the events that this chunk completes. */
+  public push(chunk: Buffer): IFramedEvents {
+    const all = this._incomplete.length === 0 ? chunk : Buffer.concat([this._incomplete, chunk]);
     const end = findLastEventEnd(all);
-    this._rest = end === all.length ? EMPTY : all.subarray(end);
+    this._incomplete = end === all.length ? EMPTY : all.subarray(end);
     const bytes = all.subarray(0, end);
     return { bytes, lastId: findLastId(bytes) };
   }
 }
 
-/** Position after the last blank line; lines end with LF or CR LF. */
+/** Offset after the last blank line, or 0 without one. Lines end with LF or CR LF. */
 function findLastEventEnd(bytes: Buffer): number {
-  for (let at = bytes.lastIndexOf(LINE_FEED); at > 0; at = bytes.lastIndexOf(LINE_FEED, at - 1)) {
-    const before = bytes[at - 1];
-    if (before === LINE_FEED || (before === CARRIAGE_RETURN && bytes[at - 2] === LINE_FEED)) {
-      return at + 1;
+  for (
+    let lineEnd = bytes.lastIndexOf(LINE_FEED);
+    lineEnd > 0;
+    lineEnd = bytes.lastIndexOf(LINE_FEED, lineEnd - 1)
+  ) {
+    const before = bytes[lineEnd - 1];
+    if (before === LINE_FEED || (before === CARRIAGE_RETURN && bytes[lineEnd - 2] === LINE_FEED)) {
+      return lineEnd + 1;
     }
   }
   return 0;
--- a/src/gateway/Overload.ts
+++ b/src/gateway/Overload.ts
@@ -1,51 +1,56 @@
 /**
- * Decides in an overload who is served and who is told to come back. While more arrives than the targets
- * can do, a queue makes every answer late; refusing the part that would be late keeps the others on time,
- * and the queue short enough that a client who comes back finds a place.
+ * Admission control. When requests arrive faster than the targets can serve them, queueing makes every
+ * response late. Refusing the requests that would be late keeps the others on time and the queue so short
+ * that a client that retries is served.
  */
 
 /**
- * A request is refused if its first byte is expected later than this part of its objective. Measured on
- * both sites with a third of the engines down: 0.8 serves more than 0.7, 1.0, 1.2, 1.5 and 2.5.
+ * A request is refused if the expected time to its first byte exceeds this fraction of its latency
+ * objective. With a third of the engines down, 0.8 serves more requests on both sites than 0.7, 1.0, 1.2,
+ * 1.5 or 2.5.
  */
-const REFUSE_FACTOR = 0.8;
+const MAX_EXPECTED_FACTOR = 0.8;
 
 /**
- * A long prompt takes most of its objective by itself. It is refused only if the wait before it exceeds
- * this part of the objective; else the longest requests would never be served.
+ * A long prompt takes most of its objective even on an idle target. It is refused only if its queueing
+ * time exceeds this fraction of the objective; otherwise the longest requests would never be served.
  */
-const WAIT_FACTOR = 0.4;
+const MAX_WAIT_FACTOR = 0.4;
 
-/** Shortest and longest time after which a refused client is asked to come back. */
-const MIN_RETRY_MS = 150;
-const MAX_RETRY_MS = 1_500;
+/** Bounds of the Retry-After of a refusal. */
+const MIN_RETRY_AFTER_MS = 150;
+const MAX_RETRY_AFTER_MS = 1_500;
 
 export type OverloadDecision =
   { readonly kind: 'serve' } | { readonly kind: 'refuse'; readonly retryAfterMs: number };
 
 /**
- * Decides about one request by the expected time to its first byte at the best target. Clients that come
- * back are treated alike: longer waits for them were measured to make all others late, and shorter ones
- * to turn away twice whom there was room for.
+ * Decides whether to serve or refuse one request. Retries get the same limits as first tries: a longer
+ * limit for them makes all other requests late, and a shorter one refuses clients a second time although
+ * there is capacity for them.
  *
- * `workMs` is the part of the expected time that the request itself takes at an idle target.
+ * @param expectedMs expected time to the first byte at the best target
+ * @param serviceMs the part of `expectedMs` that the request takes on an idle target
  *
  * @example
- * const decision = decideOverload(placement.expectedMs, placement.workMs, route.objectiveMs);
+ * const decision = decideOverload(placement.expectedMs, placement.serviceMs, route.objectiveMs);
  */
 export function decideOverload(
   expectedMs: number,
-  workMs: number,
+  serviceMs: number,
   objectiveMs: number,
 ): OverloadDecision {
-  const limitMs = Math.max(objectiveMs * REFUSE_FACTOR, workMs + objectiveMs * WAIT_FACTOR);
+  const limitMs = Math.max(
+    objectiveMs * MAX_EXPECTED_FACTOR,
+    serviceMs + objectiveMs * MAX_WAIT_FACTOR,
+  );
   if (expectedMs <= limitMs) {
     return { kind: 'serve' };
   }
-  // The backlog beyond the objective has to be worked off before the client would be served in time.
+  // The target must first work off the backlog that exceeds the objective.
   const backlogMs = expectedMs - objectiveMs;
   return {
     kind: 'refuse',
-    retryAfterMs: Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, backlogMs)),
+    retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, backlogMs)),
   };
 }
--- a/src/gateway/Placement.test.ts
+++ b/src/gateway/Placement.test.ts
@@ -1,4 +1,7 @@
-/** Guards against prompts that are read again, and against full or doubtful targets that get work. */
+/**
+ * Guards against shared prompt parts that are recomputed although a target or the store holds them, and
+ * against requests to overloaded or unavailable targets.
+ */
 import { create } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import {
@@ -25,7 +28,7 @@
     promptTokens: 9_200,
     outputTokens: 10,
     objectiveMs: 500,
-    cacheWall: undefined,
+    isolationKey: undefined,
     isEngine: true,
     model: 'm',
     wantedVersion: undefined,
@@ -36,7 +39,7 @@
 function buildTargets(count: number, born = 1_000): IPlacementTarget[] {
   return Array.from({ length: count }, (_, i) => {
     const record = buildTarget({ id: `i-${i}-${born}`, address: `10.1.0.${i}:8000`, born });
-    return { record, state: states.ensure(record, -60_000), othersOpen: 0, othersTokens: 0 };
+    return { record, state: states.ensure(record, -60_000), othersOpen: 0, othersPendingTokens: 0 };
   });
 }
 
@@ -44,14 +47,14 @@
   return placement?.source?.kind === 'target' ? placement.source.record.id : undefined;
 }
 
-/** A target that loaded version 2 at a time. */
-function loadNewer({ record, ...rest }: IPlacementTarget, now: number): IPlacementTarget {
-  const newer = updateRecord(record, { models: NEWER });
-  const fresh = { ...states.ensure({ ...record, id: `${record.id}/${now}` }, now) };
-  return { ...rest, record: newer, state: fresh };
+/** The target after it loaded version 2 of the weights at the given time. */
+function loadNewerWeights({ record, ...others }: IPlacementTarget, now: number): IPlacementTarget {
+  const newer = updateRecord(record, { models: NEWER_MODELS });
+  const state = { ...states.ensure({ ...record, id: `${record.id}/${now}` }, now) };
+  return { ...others, record: newer, state };
 }
 
-const NEWER = [create(TargetModelSchema, { name: 'm', version: 2n })];
+const NEWER_MODELS = [create(TargetModelSchema, { name: 'm', version: 2n })];
 
 function updateRecord(
   record: TargetRecord | undefined,
@@ -63,7 +66,7 @@
   return Object.assign(create(TargetRecordSchema, record), changes);
 }
 
-/** The same targets, with one of them changed. */
+/** Returns a copy of the targets in which one is changed. */
 function updateTarget(
   targets: readonly IPlacementTarget[],
   id: string | undefined,
@@ -73,7 +76,7 @@
 }
 
 describe('Placement', () => {
-  it('sends a subject to the same target from all entries, as long as none is loaded', () => {
+  it('chooses the same target for a subject in all entries while all targets are idle', () => {
     const targets = buildTargets(6, 1);
     const first = new Placement('zg-a').choose(buildRequest(), targets, EMPTY_STORE, 0);
     const second = new Placement('zg-a').choose(
@@ -86,53 +89,53 @@
     expect(first?.missedTokens).toBe(0);
   });
 
-  it('keeps a subject at its home when another target leaves', () => {
+  it('keeps the home target of a subject when other targets are removed', () => {
     const targets = buildTargets(6, 2);
     const placement = new Placement('zg-a');
     const home = placement.choose(buildRequest(), targets, EMPTY_STORE, 0)?.target.id;
-    const rest = targets.filter(({ record }, i) => record.id === home || i % 2 === 0);
-    expect(placement.choose(buildRequest(), rest, EMPTY_STORE, 0)?.target.id).toBe(home);
+    const remaining = targets.filter(({ record }, i) => record.id === home || i % 2 === 0);
+    expect(placement.choose(buildRequest(), remaining, EMPTY_STORE, 0)?.target.id).toBe(home);
   });
 
-  it('hot subject: leaves the full home and fetches the shared parts from there', () => {
+  it('hot subject: chooses another target and fetches the shared parts from the overloaded home target', () => {
     const targets = buildTargets(6, 3);
     const placement = new Placement('zg-a');
     const home = placement.choose(buildRequest(), targets, EMPTY_STORE, 0)?.target;
-    const full = updateTarget(targets, home?.id, { othersTokens: 40_000 });
+    const full = updateTarget(targets, home?.id, { othersPendingTokens: 40_000 });
     const chosen = placement.choose(buildRequest(), full, EMPTY_STORE, 0);
     expect(chosen?.target.id).not.toBe(home?.id);
     expect(getSourceId(chosen)).toBe(home?.id);
   });
 
-  it('fetches from the store what it holds for certain, unless the home was seen to read it', () => {
+  it('prefers the store to an assumed holder, but a target that was seen to compute the part to the store', () => {
     const targets = buildTargets(6, 9);
     const placement = new Placement('zg-a');
     const fullStore = { isHeld: () => true };
     const home = placement.choose(buildRequest(), targets, EMPTY_STORE, 0)?.target;
-    const full = updateTarget(targets, home?.id, { othersTokens: 40_000 });
+    const full = updateTarget(targets, home?.id, { othersPendingTokens: 40_000 });
     expect(placement.choose(buildRequest(), full, fullStore, 0)?.source?.kind).toBe('store');
     expect(placement.choose(buildRequest(), full, fullStore, 0)?.missedTokens).toBe(0);
     if (home !== undefined) {
-      placement.noteRead(buildRequest(), home, 0);
+      placement.recordReading(buildRequest(), home, 0);
     }
     expect(getSourceId(placement.choose(buildRequest(), full, fullStore, 100))).toBe(home?.id);
   });
 
-  it('never fetches parts that were read under other weights', () => {
+  it('never fetches parts that were computed with other weights', () => {
     const targets = buildTargets(6, 4);
     const placement = new Placement('zg-a');
     const home = placement.choose(buildRequest(), targets, EMPTY_STORE, 0)?.target;
-    const newer = updateRecord(home, { models: NEWER });
-    const full = updateTarget(targets, home?.id, { record: newer, othersTokens: 40_000 });
+    const newer = updateRecord(home, { models: NEWER_MODELS });
+    const full = updateTarget(targets, home?.id, { record: newer, othersPendingTokens: 40_000 });
     expect(getSourceId(placement.choose(buildRequest(), full, EMPTY_STORE, 0))).not.toBe(home?.id);
   });
 
-  describe('weights that follow each other within seconds', () => {
+  describe('when new weights are rolled out within seconds of each other', () => {
     const request = buildRequest({ wantedVersion: 2 });
 
-    it('keeps one home for a subject among the targets that hold the newest', () => {
+    it('keeps one home target for a subject among the targets with the newest weights', () => {
       const targets = buildTargets(12, 10).map((target, i) =>
-        i % 2 === 0 ? target : loadNewer(target, 0),
+        i % 2 === 0 ? target : loadNewerWeights(target, 0),
       );
       const subjects = Array.from({ length: 40 }, (_, i) => `subject-${i}`);
       for (const id of subjects) {
@@ -141,8 +144,11 @@
           { id, tokens: 3_800 },
           ...request.parts.slice(2),
         ];
-        // Another entry has other requests open.
-        const busy = targets.map((target, i) => ({ ...target, othersTokens: 300 * (i % 5) }));
+        // The second entry sees a different load by other entries.
+        const busy = targets.map((target, i) => ({
+          ...target,
+          othersPendingTokens: 300 * (i % 5),
+        }));
         const first = new Placement('zg-a').choose(
           { ...request, parts },
           targets,
@@ -154,37 +160,37 @@
       }
     });
 
-    it('fetches from the home of before when a target of a higher rank has loaded them', () => {
+    it('fetches from the former home target after a target of a higher rank has loaded the weights', () => {
       const cold = buildTargets(6, 11);
       const home = new Placement('zg-a').choose(request, cold, EMPTY_STORE, 0)?.target.id;
       const others = cold.filter(({ record }) => record.id !== home);
       const before = new Placement('zg-a').choose(request, others, EMPTY_STORE, 0)?.target.id;
       const targets = cold.map((target) =>
-        loadNewer(target, target.record.id === home ? 8_000 : 1_000),
+        loadNewerWeights(target, target.record.id === home ? 8_000 : 1_000),
       );
       const chosen = new Placement('zg-a').choose(request, targets, EMPTY_STORE, 8_500);
       expect(chosen?.target.id).toBe(home);
       expect(getSourceId(chosen)).toBe(before);
     });
 
-    it('fetches a part from a target that another entry has seen to read it', () => {
-      const targets = buildTargets(6, 13).map((target) => loadNewer(target, 0));
+    it('fetches a part from a target that another entry has seen to compute it', () => {
+      const targets = buildTargets(6, 13).map((target) => loadNewerWeights(target, 0));
       const placement = new Placement('zg-a');
       const home = placement.choose(request, targets, EMPTY_STORE, 100)?.target.id;
       const reader = targets.find(({ record }) => record.id !== home)?.record;
       const others = new PromptHolders();
-      others.noteRead(request, updateRecord(reader, {}), 0);
-      const told = others.takeUntold();
-      expect(told).toHaveLength(2);
+      others.recordReading(request, updateRecord(reader, {}), 0);
+      const reported = others.takeUntold();
+      expect(reported).toHaveLength(2);
       const holders = new PromptHolders();
-      holders.noteTold(told, 100);
-      const full = updateTarget(targets, reader?.id, { othersTokens: 40_000 });
+      holders.noteTold(reported, 100);
+      const full = updateTarget(targets, reader?.id, { othersPendingTokens: 40_000 });
       const chosen = new Placement('zg-a', holders).choose(request, full, EMPTY_STORE, 150);
       expect(getSourceId(chosen)).toBe(reader?.id);
       expect(chosen?.missedTokens).toBe(0);
     });
 
-    it('names a source also to a home that should hold all, as it may have dropped parts', () => {
+    it('names a source also to a home target that is expected to hold all parts, as it may have evicted some', () => {
       const targets = buildTargets(6, 15);
       const placement = new Placement('zg-a');
       const home = placement.choose(request, targets, EMPTY_STORE, 0)?.target;
@@ -193,48 +199,48 @@
       expect(stored?.target.id).toBe(home?.id);
       expect(stored?.source?.kind).toBe('store');
       const reader = targets.find(({ record }) => record.id !== home?.id)?.record;
-      placement.noteRead(request, updateRecord(reader, {}), 0);
+      placement.recordReading(request, updateRecord(reader, {}), 0);
       const seen = placement.choose(request, targets, EMPTY_STORE, 100);
       expect(seen?.target.id).toBe(home?.id);
       expect(getSourceId(seen)).toBe(reader?.id);
     });
 
-    it('tells other entries of a reading once in two seconds', () => {
+    it('reports a repeated reading to other entries once in two seconds', () => {
       const [target] = buildTargets(1, 14);
       const holders = new PromptHolders();
       for (const now of [0, 100, 1_900]) {
-        holders.noteRead(request, updateRecord(target?.record, {}), now);
+        holders.recordReading(request, updateRecord(target?.record, {}), now);
       }
       expect(holders.takeUntold()).toHaveLength(2);
       expect(holders.takeUntold()).toHaveLength(0);
-      holders.noteRead(request, updateRecord(target?.record, {}), 2_000);
+      holders.recordReading(request, updateRecord(target?.record, {}), 2_000);
       expect(holders.takeUntold()).toHaveLength(2);
     });
 
-    it('fetches a common first part from a target that was seen to read it', () => {
-      const targets = buildTargets(6, 12).map((target) => loadNewer(target, 0));
+    it('fetches a common first part from a target that was seen to compute it', () => {
+      const targets = buildTargets(6, 12).map((target) => loadNewerWeights(target, 0));
       const placement = new Placement('zg-a');
       const [standard, , own] = request.parts;
       const other = { ...request, parts: [standard, { id: 'other', tokens: 10 }, own] };
       const reader = placement.choose(request, targets, EMPTY_STORE, 5_000)?.target.id;
       const seen = targets.find(({ record }) => record.id !== reader)?.record;
-      placement.noteRead(other as IPlacementRequest, updateRecord(seen, {}), 4_900);
+      placement.recordReading(other as IPlacementRequest, updateRecord(seen, {}), 4_900);
       const chosen = placement.choose(request, targets, EMPTY_STORE, 5_000);
       expect(chosen?.target.id).toBe(reader);
       expect(getSourceId(chosen)).toBe(seen?.id);
     });
   });
 
-  it('prefers targets with the newest weights while that costs less than reading again', () => {
-    const [old, fresh] = buildTargets(2, 5);
-    if (old === undefined || fresh === undefined) {
+  it('prefers a target with the newest weights if no shared part has to be recomputed', () => {
+    const [old, updated] = buildTargets(2, 5);
+    if (old === undefined || updated === undefined) {
       throw new Error('two targets are needed');
     }
-    const record = updateRecord(fresh.record, { models: NEWER });
+    const record = updateRecord(updated.record, { models: NEWER_MODELS });
     const request = buildRequest({ wantedVersion: 2, parts: [] });
     const chosen = new Placement('zg-a').choose(
       request,
-      [old, { ...fresh, record }],
+      [old, { ...updated, record }],
       EMPTY_STORE,
       0,
     );
@@ -258,7 +264,7 @@
     expect(chosen?.target.id).not.toBe(home?.id);
   });
 
-  it('sends no long stream to a target that is about to load weights', () => {
+  it('avoids a target that is about to load weights for a long stream', () => {
     const targets = buildTargets(3, 7);
     const request = buildRequest({ parts: [], outputTokens: 300 });
     const placement = new Placement('zg-a');
@@ -268,7 +274,7 @@
     expect(placement.choose(request, changed, EMPTY_STORE, 0)?.target.id).not.toBe(home?.id);
   });
 
-  it('spreads plain requests by their number', () => {
+  it('balances requests to plain services by the number of open requests', () => {
     const targets = buildTargets(3, 8).map((target, i) => ({ ...target, othersOpen: 5 - i }));
     const chosen = new Placement('zg-a').choose(
       buildRequest({ parts: [], isEngine: false, model: undefined }),
@@ -279,7 +285,7 @@
     expect(chosen?.target.id).toBe(targets[2]?.record.id);
   });
 
-  it('has no choice without targets', () => {
+  it('returns undefined without targets', () => {
     expect(new Placement('zg-a').choose(buildRequest(), [], EMPTY_STORE, 0)).toBeUndefined();
   });
 });
--- a/src/gateway/Placement.ts
+++ b/src/gateway/Placement.ts
@@ -1,98 +1,107 @@
 /**
- * Chooses the target of a request. Cost is the part of the request's worth that is expected to be lost:
- * by answering late, by reading shared prompt parts again, or by running on old weights.
+ * Chooses the target of a request by expected cost. The cost is the fraction of the request's value that is
+ * expected to be lost by a late response, by recomputing shared prompt parts or by running on old weights.
  */
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import type { IPlacementRequest, IPlacementTarget } from './PlacementRequest.js';
-import { getVersion, listSharedParts, PromptHolders, type IHolding } from './PromptHolders.js';
+import {
+  getWeightsVersion,
+  listSharedParts,
+  PromptHolders,
+  type IHolding,
+} from './PromptHolders.js';
 import { chooseSource, listSources, type PromptSource } from './PromptSources.js';
-import { getFreshLoad, getSlowness, LONG_STREAM_TOKENS } from './TargetStates.js';
+import { getRecentLoad, getSlowness, LONG_STREAM_TOKENS } from './TargetStates.js';
 import type { IPromptPart } from './Types.js';
 
-/** Prompt tokens that an engine reads in a millisecond; the engines' data sheet says 56.6. */
+/** Prefill speed of an engine; its data sheet states 56.6. */
 const PREFILL_TOKENS_PER_MS = 55;
 
-/** Time to the first token of an idle engine with a warm cache, in milliseconds (data sheet). */
-const ENGINE_BASE_MS = 25;
+/** Time to the first token of an idle engine that has the whole prompt cached, from its data sheet. */
+const IDLE_ENGINE_TTFT_MS = 25;
 
-/** Delay that each running request adds to the first token of another (data sheet: 0.09 ms a step). */
-const RUNNING_MS = 1.5;
+/** Delay that each running request adds to the first token of another (0.09 ms a step by the data sheet). */
+const DELAY_PER_RUNNING_REQUEST_MS = 1.5;
 
-/** Time that a plain service takes for one request until answers have shown it. */
-const PLAIN_WORK_MS = 60;
+/** Service time assumed for a request to a plain service; the slowness learned of a target scales it. */
+const PLAIN_SERVICE_MS = 60;
 
-/** Worth lost with 1,000 shared tokens that are read again, as part of a request's worth. */
-const REREAD_COST_PER_1000 = 0.25;
+/** Cost of recomputing 1,000 shared tokens. */
+const RECOMPUTE_COST_PER_1000_TOKENS = 0.25;
 
 /**
- * Cost of reading 1,000 tokens of a subject's last shared part away from its home, where the next request
- * for the subject will not find them. On the grown sites three in ten follow another one on the same weights,
- * and a move brings most of these parts.
+ * Cost per 1,000 tokens of the last shared part for a target that is not the home target: the next request
+ * with the same part will not find it there. It is low because on the larger sites only three in ten
+ * requests follow another one with the same part and weights, and most of these parts can be transferred.
  */
-const AWAY_COST_PER_1000 = 0.05;
+const NOT_HOME_COST_PER_1000_TOKENS = 0.05;
 
-/** Expected time as a part of the objective at which lateness begins to count, and where it is certain. */
-const RISK_FROM = 0.3;
-const RISK_FULL = 1.1;
+/**
+ * Ratio of expected time to objective at which the lateness cost begins, and at which a late response is
+ * certain and the cost is 1. Between the two the cost grows with the square.
+ */
+const LATENESS_START_RATIO = 0.3;
+const LATENESS_FULL_RATIO = 1.1;
 
-/** Cost of a long stream on an engine that will load weights shortly: it delays the load for all. */
-const DELAYED_LOAD_COST = 0.5;
+/** Cost of a long stream on an engine that will load weights shortly: it delays the load for all requests. */
+const DELAYED_WEIGHTS_LOAD_COST = 0.5;
 
-/** Worth lost by an answer on old weights. */
+/** Cost of a response on old weights. */
 const OLD_WEIGHTS_COST = 0.2;
 
-/** Cost of a target in another data centre, so that equal choices stay in the own one. */
-const FAR_COST = 0.004;
+/** Cost of a target in another data centre, so that of equal targets a local one is chosen. */
+const REMOTE_DATA_CENTRE_COST = 0.004;
 
-/** Worth lost by moving 1,000 tokens of KV cache between engines, as part of a request's worth. */
-const MOVE_COST_PER_1000 = 0.005;
+/** Cost of transferring 1,000 tokens of KV cache between engines or from the store. */
+const TRANSFER_COST_PER_1000_TOKENS = 0.005;
 
-/** Time to move 1,000 tokens of KV cache over an engine's link (18 KB each, 370 Gbit/s), with set-up. */
-const MOVE_MS_PER_1000 = 1;
+/** Transfer time over an engine's link, with connection set-up: 18 KB per token at 370 Gbit/s. */
+const TARGET_TRANSFER_MS_PER_1000_TOKENS = 1;
 
-/** The same from a store, whose link is slower (26 Gbit/s). */
-const STORE_MS_PER_1000 = 7;
+/** Transfer time from the store, whose link has 26 Gbit/s. */
+const STORE_TRANSFER_MS_PER_1000_TOKENS = 7;
 
-/** Cost of a target that is silent or has just failed: used only when there is no other. */
-const DOUBTFUL_COST = 20;
+/** Cost of a target that is silent, loads weights or is in cooldown: it is used only if there is no other. */
+const UNAVAILABLE_TARGET_COST = 20;
 
-/** What a store of KV cache holds. */
+/** Content of the KV cache store. */
 export interface IStoreContent {
   isHeld(scope: string, part: string): boolean;
 }
 
-/** The chosen target and what decided. */
+/** The chosen target and the estimates behind the choice. */
 export interface IPlacement {
   readonly target: TargetRecord;
   readonly cost: number;
   /** Expected time to the first byte in milliseconds. */
   readonly expectedMs: number;
-  /** The same before what was learned of the target's speed. */
+  /** The expected time without the correction by the target's slowness. */
   readonly modelMs: number;
-  /** The part of it that the request itself takes at an idle target. */
-  readonly workMs: number;
-  /** Shared tokens that are expected to be read again. */
+  /** The part of `expectedMs` that the request takes on an idle target. */
+  readonly serviceMs: number;
+  /** Shared prompt tokens that the target is expected to recompute. */
   readonly missedTokens: number;
-  /** From where the shared parts that the target lacks are to be fetched. */
+  /** Where the target is to fetch the shared parts that it lacks. */
   readonly source: PromptSource | undefined;
 }
 
-/** From where targets of one version may fetch shared parts. */
-interface IOffer {
+/** Sources from which the targets of one weights version can fetch shared parts. */
+interface ISourceOptions {
   readonly sources: readonly IHolding[];
-  /** Leading shared parts that the store holds. */
+  /** Number of leading shared parts that the store holds. */
   readonly storedParts: number;
 }
 
-const NO_OFFER: IOffer = { sources: [], storedParts: 0 };
+const NO_SOURCES: ISourceOptions = { sources: [], storedParts: 0 };
 
+/** Chooses the target with the least expected cost, and the source of the shared prompt parts it lacks. */
 export class Placement {
   constructor(
     private readonly _dataCentre: string,
     private readonly _holders = new PromptHolders(),
   ) {}
 
-  /** Undefined if there is no target. */
+  /** Returns undefined if `targets` is empty. */
   public choose(
     request: IPlacementRequest,
     targets: readonly IPlacementTarget[],
@@ -101,11 +110,11 @@
   ): IPlacement | undefined {
     const parts = listSharedParts(request);
     const holdings = this._holders.estimate(request, targets, now);
-    const offers = listOffers(request, holdings, parts, store);
+    const optionsByVersion = listSourceOptions(request, holdings, parts, store);
     let best: IPlacement | undefined;
     for (const holding of holdings) {
-      const offer = offers.get(holding.version) ?? NO_OFFER;
-      const placement = this._estimateCost(request, holding, parts, offer, now);
+      const options = optionsByVersion.get(holding.version) ?? NO_SOURCES;
+      const placement = this._estimateCost(request, holding, parts, options, now);
       if (best === undefined || placement.cost < best.cost) {
         best = placement;
       }
@@ -113,39 +122,46 @@
     return best;
   }
 
-  /** Records that a target has read the parts of a prompt. */
-  public noteRead(request: IPlacementRequest, target: TargetRecord, now: number): void {
-    this._holders.noteRead(request, target, now);
+  /** Records that a target has computed the parts of a prompt and now holds them. */
+  public recordReading(request: IPlacementRequest, target: TargetRecord, now: number): void {
+    this._holders.recordReading(request, target, now);
   }
 
   private _estimateCost(
     request: IPlacementRequest,
     holding: IHolding,
     parts: readonly IPromptPart[],
-    { sources, storedParts }: IOffer,
+    { sources, storedParts }: ISourceOptions,
     now: number,
   ): IPlacement {
-    const { target, isDoubtful } = holding;
+    const { target, isUnavailable } = holding;
     const { record } = target;
-    const supply = chooseSource(holding, sources, parts, storedParts);
-    const { source, movedTokens, missedTokens } = supply;
-    const moveMs =
-      (movedTokens / 1_000) * (source?.kind === 'store' ? STORE_MS_PER_1000 : MOVE_MS_PER_1000);
-    const ownMs = request.isEngine ? estimateWorkMs(request, missedTokens) + moveMs : PLAIN_WORK_MS;
+    const choice = chooseSource(holding, sources, parts, storedParts);
+    const { source, transferredTokens, missedTokens } = choice;
+    const transferMs =
+      (transferredTokens / 1_000) *
+      (source?.kind === 'store'
+        ? STORE_TRANSFER_MS_PER_1000_TOKENS
+        : TARGET_TRANSFER_MS_PER_1000_TOKENS);
+    const idleMs = request.isEngine
+      ? estimateServiceMs(request, missedTokens) + transferMs
+      : PLAIN_SERVICE_MS;
     const modelMs = request.isEngine
-      ? ownMs + estimateWaitMs(target, now)
+      ? idleMs + estimateWaitMs(target, now)
       : estimatePlainMs(target, now);
     const slowness = getSlowness(target.state, now);
     const expectedMs = modelMs * slowness;
     const cost =
-      measureLateness(expectedMs, request.objectiveMs) +
-      (missedTokens / 1_000) * REREAD_COST_PER_1000 +
-      (movedTokens / 1_000) * MOVE_COST_PER_1000 +
-      (holding.isHome ? 0 : ((parts.at(-1)?.tokens ?? 0) / 1_000) * AWAY_COST_PER_1000) +
-      (isOld(request, record) ? OLD_WEIGHTS_COST : 0) +
-      (record.preparing && request.outputTokens > LONG_STREAM_TOKENS ? DELAYED_LOAD_COST : 0) +
-      (record.dataCentre === this._dataCentre ? 0 : FAR_COST) +
-      (isDoubtful ? DOUBTFUL_COST : 0) +
+      computeLatenessCost(expectedMs, request.objectiveMs) +
+      (missedTokens / 1_000) * RECOMPUTE_COST_PER_1000_TOKENS +
+      (transferredTokens / 1_000) * TRANSFER_COST_PER_1000_TOKENS +
+      (holding.isHome ? 0 : ((parts.at(-1)?.tokens ?? 0) / 1_000) * NOT_HOME_COST_PER_1000_TOKENS) +
+      (hasOldWeights(request, record) ? OLD_WEIGHTS_COST : 0) +
+      (record.preparing && request.outputTokens > LONG_STREAM_TOKENS
+        ? DELAYED_WEIGHTS_LOAD_COST
+        : 0) +
+      (record.dataCentre === this._dataCentre ? 0 : REMOTE_DATA_CENTRE_COST) +
+      (isUnavailable ? UNAVAILABLE_TARGET_COST : 0) +
       // Breaks ties between idle targets.
       expectedMs / 1_000_000;
     return {
@@ -153,72 +169,79 @@
       cost,
       expectedMs,
       modelMs,
-      workMs: ownMs * slowness,
+      serviceMs: idleMs * slowness,
       missedTokens,
       source,
     };
   }
 }
 
-/** Parts of other weights or walls must never be found, wherever they are moved. */
+/**
+ * Scope of the cached prompt parts. It contains the weights version and the isolation key, so that parts
+ * with a different one are never found, also not after a transfer.
+ */
 export function formatCacheScope(request: IPlacementRequest, target: TargetRecord): string {
-  return `${getVersion(request, target)}/${request.cacheWall ?? ''}`;
+  return `${getWeightsVersion(request, target)}/${request.isolationKey ?? ''}`;
 }
 
-/** What is offered to the targets of each version; the same for all of them. */
-function listOffers(
+/** Sources by weights version; all targets of a version share them. */
+function listSourceOptions(
   request: IPlacementRequest,
   holdings: readonly IHolding[],
   parts: readonly IPromptPart[],
   store: IStoreContent,
-): ReadonlyMap<number, IOffer> {
+): ReadonlyMap<number, ISourceOptions> {
   const sources = listSources(holdings, parts);
-  const offers = new Map<number, IOffer>();
+  const optionsByVersion = new Map<number, ISourceOptions>();
   for (const { version, target } of holdings) {
-    if (!offers.has(version)) {
+    if (!optionsByVersion.has(version)) {
       const scope = formatCacheScope(request, target.record);
-      const missing = parts.findIndex((part) => !store.isHeld(scope, part.id));
-      const storedParts = missing < 0 ? parts.length : missing;
-      offers.set(version, { sources: sources.get(version) ?? [], storedParts });
+      const firstMissing = parts.findIndex((part) => !store.isHeld(scope, part.id));
+      const storedParts = firstMissing < 0 ? parts.length : firstMissing;
+      optionsByVersion.set(version, { sources: sources.get(version) ?? [], storedParts });
     }
   }
-  return offers;
+  return optionsByVersion;
 }
 
 function countOpen({ state, othersOpen }: IPlacementTarget): number {
   return state.open + othersOpen;
 }
 
-/** Time that the request itself takes at an idle engine. */
-function estimateWorkMs(request: IPlacementRequest, missedTokens: number): number {
+/** Time to the first byte on an idle engine that must compute `missedTokens` of the shared parts. */
+function estimateServiceMs(request: IPlacementRequest, missedTokens: number): number {
   const own = request.parts.at(-1)?.tokens ?? request.promptTokens;
-  return ENGINE_BASE_MS + (own + missedTokens) / PREFILL_TOKENS_PER_MS;
+  return IDLE_ENGINE_TTFT_MS + (own + missedTokens) / PREFILL_TOKENS_PER_MS;
 }
 
-/** Time until an engine has read the prompts before, and what running requests add. */
+/** Time in which an engine computes the queued prompts, plus the delay by running requests. */
 function estimateWaitMs(target: IPlacementTarget, now: number): number {
-  const backlog = target.state.pendingTokens + target.othersTokens;
-  const load = getFreshLoad(target.state, now);
+  const backlog = target.state.pendingTokens + target.othersPendingTokens;
+  const load = getRecentLoad(target.state, now);
   const running = Math.max(countOpen(target), load?.running ?? 0);
   const waiting = load?.waiting ?? 0;
-  return backlog / PREFILL_TOKENS_PER_MS + (running + waiting) * RUNNING_MS;
+  return backlog / PREFILL_TOKENS_PER_MS + (running + waiting) * DELAY_PER_RUNNING_REQUEST_MS;
 }
 
+/** Expected time to the first byte at a target of a plain service, from its open requests and slots. */
 function estimatePlainMs(target: IPlacementTarget, now: number): number {
-  const load = getFreshLoad(target.state, now);
+  const load = getRecentLoad(target.state, now);
   const slots = Math.max(1, load?.slots ?? target.record.slots);
   const open = Math.max(countOpen(target), load === undefined ? 0 : load.running + load.waiting);
   const rounds = Math.max(0, (open + 1 - slots) / slots);
-  // The small part prefers the less loaded of two targets that both have room.
-  return PLAIN_WORK_MS * (1 + rounds + (0.2 * Math.min(open, slots)) / slots);
+  // The last term makes the less loaded of two targets with free slots the cheaper one.
+  return PLAIN_SERVICE_MS * (1 + rounds + (0.2 * Math.min(open, slots)) / slots);
 }
 
-function measureLateness(expectedMs: number, objectiveMs: number): number {
-  const part = (expectedMs / Math.max(1, objectiveMs) - RISK_FROM) / (RISK_FULL - RISK_FROM);
-  return part <= 0 ? 0 : part * part;
+/** 0 up to `LATENESS_START_RATIO` of the objective, 1 at `LATENESS_FULL_RATIO`, quadratic also beyond. */
+function computeLatenessCost(expectedMs: number, objectiveMs: number): number {
+  const lateness =
+    (expectedMs / Math.max(1, objectiveMs) - LATENESS_START_RATIO) /
+    (LATENESS_FULL_RATIO - LATENESS_START_RATIO);
+  return lateness <= 0 ? 0 : lateness * lateness;
 }
 
-function isOld(request: IPlacementRequest, record: TargetRecord): boolean {
-  const version = getVersion(request, record);
+function hasOldWeights(request: IPlacementRequest, record: TargetRecord): boolean {
+  const version = getWeightsVersion(request, record);
   return request.wantedVersion !== undefined && version > 0 && version < request.wantedVersion;
 }
--- a/src/gateway/PlacementRequest.ts
+++ b/src/gateway/PlacementRequest.ts
@@ -1,29 +1,31 @@
-/** What a request needs, and the targets among which it is placed. */
+/** Input of the placement: properties of a request and of the candidate targets. */
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import type { ITargetState } from './TargetStates.js';
 import type { IPromptPart } from './Types.js';
 
-/** What the choice depends on. */
+/** Properties of a request that affect its placement. */
 export interface IPlacementRequest {
-  /** Shared and own parts of the prompt, in order; empty for plain services. */
+  /** Parts of the prompt in order, of which all but the last are shared; empty for plain services. */
   readonly parts: readonly IPromptPart[];
   readonly promptTokens: number;
-  /** Tokens that are expected to be generated. */
+  /** Expected number of generated tokens. */
   readonly outputTokens: number;
+  /** Latency objective for the first byte. */
   readonly objectiveMs: number;
-  /** Requests with different walls share no part. */
-  readonly cacheWall: string | undefined;
+  /** Requests with different isolation keys never share cached prompt parts. */
+  readonly isolationKey: string | undefined;
   readonly isEngine: boolean;
   readonly model: string | undefined;
-  /** Version that answers should be made on; undefined if any will do. */
+  /** Newest weights version named for the model; undefined if there is none. */
   readonly wantedVersion: number | undefined;
 }
 
-/** One target as the entry sees it. */
+/** A candidate target with the load known to this entry. */
 export interface IPlacementTarget {
   readonly record: TargetRecord;
   readonly state: ITargetState;
-  /** Requests of other entries, as of the last exchange. */
+  /** Open requests of other entries, as of the last exchange with the hub. */
   readonly othersOpen: number;
-  readonly othersTokens: number;
+  /** Prompt tokens of other entries' requests that have not received a first byte, as of that exchange. */
+  readonly othersPendingTokens: number;
 }
--- a/src/gateway/PromptHolders.ts
+++ b/src/gateway/PromptHolders.ts
@@ -1,8 +1,9 @@
 /**
- * Estimates which targets hold the shared parts of a prompt: from what this entry has seen them read, and
- * from where all entries send a subject. The home of a subject is the first target in rendezvous order
- * among those with the same weights, so it moves while weights are rolled out, and the homes of before
- * still hold what they read then.
+ * Estimates which targets hold the shared parts of a prompt in their cache. Two sources are used: readings,
+ * that is, parts that a target was seen to compute, and home targets. The subject of a request is its last
+ * shared part. Its home target is the first in rendezvous order among the targets with the same weights,
+ * and all entries send the subject there. The home target changes while weights are rolled out; former ones
+ * still hold what they computed.
  */
 import { create } from '@bufbuild/protobuf';
 import { getHeldVersion } from '../fleet/HeldWeights.js';
@@ -15,128 +16,141 @@
 import type { IPlacementRequest, IPlacementTarget } from './PlacementRequest.js';
 import type { IPromptPart } from './Types.js';
 
-/** Evidence that a target holds a part is trusted for this long; engines drop parts within seconds. */
-const EVIDENCE_MS = 5_000;
+/** Age up to which a reading counts as evidence of a cached part; engines evict parts within seconds. */
+const EVIDENCE_LIFETIME_MS = 5_000;
 
-/** Prompt parts whose holders are kept. */
+/** Prompt parts for which readings are kept; the least recently used part is dropped. */
 const MAX_PARTS = 4_000;
 
-/** Time in which a home is expected to have read the parts of its subjects: about that between two requests for one. */
-const WARM_UP_MS = 8_000;
+/** Time after which a new home target is expected to hold its subjects: about the interval of their requests. */
+const HOME_WARM_UP_MS = 8_000;
 
-/** A former home has dropped the parts of a subject after this time without use; its memory holds 9 s of prompts. */
-const KEPT_MS = 8_000;
+/** Time after which a former home target has evicted a subject; its memory holds 9 s of prompts. */
+const CACHE_RETENTION_MS = 8_000;
 
-/** Parts that an engine reads in 9 ms or more; its news costs each entry 30 bytes. */
-const MIN_TOLD_TOKENS = 500;
+/** Smaller parts take an engine less than 9 ms to compute; each reported reading costs every entry 30 bytes. */
+const MIN_REPORTED_TOKENS = 500;
 
-/** A reading that all entries know is told again after this time, well before they stop trusting it. */
-const TOLD_AGAIN_MS = 2_000;
+/** Interval of reports of a repeated reading; well below `EVIDENCE_LIFETIME_MS`, so that it does not expire. */
+const REPORT_INTERVAL_MS = 2_000;
 
-/** Readings that wait for the next exchange; the oldest are dropped while no hub answers. */
-const MAX_UNTOLD = 200;
+/** Readings that wait for the next exchange with the hub; while no hub answers, the oldest are dropped. */
+const MAX_UNREPORTED = 200;
 
+/** Evidence that one run of a target computed a prompt part with one weights version. */
 interface IReading {
   readonly born: number;
   readonly version: number;
   readonly at: number;
-  /** Time at which the other entries were told. */
-  readonly toldAt: number;
+  /** When the reading was last reported to or by other entries. */
+  readonly reportedAt: number;
 }
 
 /** A target with the shared parts that it is expected to hold. */
 export interface IHolding {
   readonly target: IPlacementTarget;
   readonly version: number;
-  /** For each shared part the chance that it and all parts before it are held. */
+  /** For each shared part the probability that the target holds it and all parts before it. */
   readonly chances: readonly number[];
-  /** Leading shared parts that some entry has seen it read lately. */
+  /** Number of leading shared parts that some entry has seen the target compute lately. */
   readonly seenParts: number;
-  /** True if all entries send the subject there, as far as they know the same targets. */
+  /** True if the target is the home target of the subject; entries that know the same targets agree on it. */
   readonly isHome: boolean;
-  readonly isDoubtful: boolean;
+  /** True if the target is silent, loads weights or is in cooldown. */
+  readonly isUnavailable: boolean;
 }
 
+/** Collects the readings of this and other entries, and estimates from them what each target holds. */
 export class PromptHolders {
-  /** Readings of each prompt part, by the code of the part and the id of the target. */
+  /** Readings by the hash of the prompt part and the id of the target. */
   private readonly _readings = new Map<number, Map<string, IReading>>();
-  private _untold: PromptReading[] = [];
+  private _unreported: PromptReading[] = [];
 
-  /** One holding for each target, in the same order. */
+  /** Returns one holding for each target, in the same order. */
   public estimate(
     request: IPlacementRequest,
     targets: readonly IPlacementTarget[],
     now: number,
   ): readonly IHolding[] {
-    const codes = listSharedParts(request).map((part) => hashPart(request, part));
-    const homeTimes = findHomeTimes(request, codes.at(-1), targets, now);
-    const readings = codes.map((code) => this._readings.get(code));
+    const hashes = listSharedParts(request).map((part) => hashPart(request, part));
+    const homePeriods = findHomePeriods(request, hashes.at(-1), targets, now);
+    const readings = hashes.map((code) => this._readings.get(code));
     return targets.map((target): IHolding => {
-      const homeTime = homeTimes.get(target.record.id);
-      const version = getVersion(request, target.record);
+      const homePeriod = homePeriods.get(target.record.id);
+      const version = getWeightsVersion(request, target.record);
       return {
         target,
         version,
-        ...estimateChances(readings, target.record, version, homeTime?.chance ?? 0, now),
-        isHome: homeTime?.isHome === true,
-        isDoubtful: isDoubtful(target, now),
+        ...estimateChances(readings, target.record, version, homePeriod?.chance ?? 0, now),
+        isHome: homePeriod?.isHome === true,
+        isUnavailable: isUnavailable(target, now),
       };
     });
   }
 
-  /** Records that a target has read the parts of a prompt. */
-  public noteRead(request: IPlacementRequest, target: TargetRecord, now: number): void {
-    const version = getVersion(request, target);
+  /** Records that a target has computed the parts of a prompt, and queues the reading for the next exchange. */
+  public recordReading(request: IPlacementRequest, target: TargetRecord, now: number): void {
+    const version = getWeightsVersion(request, target);
     const { id, born } = target;
     for (const part of listSharedParts(request)) {
-      const code = hashPart(request, part);
-      const known = this._readings.get(code)?.get(id);
-      const isSame = known?.born === born && known.version === version;
-      const isTold = isSame && now - known.toldAt < TOLD_AGAIN_MS;
-      this._store(code, id, { born, version, at: now, toldAt: isTold ? known.toldAt : now });
-      if (!isTold && part.tokens >= MIN_TOLD_TOKENS) {
+      const hash = hashPart(request, part);
+      const previous = this._readings.get(hash)?.get(id);
+      const isSame = previous?.born === born && previous.version === version;
+      const isReported = isSame && now - previous.reportedAt < REPORT_INTERVAL_MS;
+      this._store(hash, id, {
+        born,
+        version,
+        at: now,
+        reportedAt: isReported ? previous.reportedAt : now,
+      });
+      if (!isReported && part.tokens >= MIN_REPORTED_TOKENS) {
         const weightsVersion = BigInt(version);
-        const fields = { part: code, target: id, born, weightsVersion };
-        this._untold.push(create(PromptReadingSchema, fields));
+        const fields = { part: hash, target: id, born, weightsVersion };
+        this._unreported.push(create(PromptReadingSchema, fields));
       }
     }
   }
 
-  /** Readings that other entries have not been told of yet. */
+  /** Returns and clears the readings that were not yet reported to other entries. */
   public takeUntold(): readonly PromptReading[] {
-    const untold = this._untold.slice(-MAX_UNTOLD);
-    this._untold = [];
-    return untold;
+    const unreported = this._unreported.slice(-MAX_UNREPORTED);
+    this._unreported = [];
+    return unreported;
   }
 
-  /** Takes readings that other entries have seen. */
+  /** Adds readings that other entries reported. */
   public noteTold(readings: readonly PromptReading[], now: number): void {
     for (const { part, target, born, weightsVersion } of readings) {
-      this._store(part, target, { born, version: Number(weightsVersion), at: now, toldAt: now });
+      this._store(part, target, {
+        born,
+        version: Number(weightsVersion),
+        at: now,
+        reportedAt: now,
+      });
     }
   }
 
-  /** A target that restarted or loaded weights holds nothing of before. */
+  /** Drops the readings of a target that restarted or loaded weights: its cache is empty. */
   public forgetTarget(id: string): void {
     for (const readings of this._readings.values()) {
       readings.delete(id);
     }
   }
 
-  private _store(code: number, target: string, reading: IReading): void {
-    const readings = this._readings.get(code) ?? new Map<string, IReading>();
+  private _store(hash: number, target: string, reading: IReading): void {
+    const readings = this._readings.get(hash) ?? new Map<string, IReading>();
     readings.set(target, reading);
-    // Moved to the end, so that the part used longest ago is dropped first.
-    this._readings.delete(code);
-    this._readings.set(code, readings);
+    // Reinserted at the end, so that the first key is the least recently used one.
+    this._readings.delete(hash);
+    this._readings.set(hash, readings);
     if (this._readings.size > MAX_PARTS) {
       const [oldest] = this._readings.keys();
-      this._readings.delete(oldest ?? code);
+      this._readings.delete(oldest ?? hash);
     }
   }
 }
 
-/** `readings` are those of each shared part. */
+/** @param readings readings of each shared part, by target id */
 function estimateChances(
   readings: readonly (ReadonlyMap<string, IReading> | undefined)[],
   record: TargetRecord,
@@ -151,8 +165,8 @@
     const isSeen =
       reading?.born === record.born &&
       reading.version === version &&
-      now - reading.at <= EVIDENCE_MS;
-    // A home holds all parts of a subject or none, so the chance counts once.
+      now - reading.at <= EVIDENCE_LIFETIME_MS;
+    // A home target holds all parts of a subject or none, so the probabilities are not multiplied.
     chance = Math.min(chance, isSeen ? 1 : homeChance);
     seenParts += isSeen && seenParts === i ? 1 : 0;
     return chance;
@@ -160,59 +174,63 @@
   return { chances, seenParts };
 }
 
-/** The last part belongs to the request itself. */
+/** All parts but the last, which is specific to the request. */
 export function listSharedParts(request: IPlacementRequest): readonly IPromptPart[] {
   return request.parts.slice(0, -1);
 }
 
-/** Version of the request's model that the target holds; 0 if it names none. */
-export function getVersion({ model }: IPlacementRequest, record: TargetRecord): number {
+/** Weights version of the request's model that the target holds; 0 if it holds none. */
+export function getWeightsVersion({ model }: IPlacementRequest, record: TargetRecord): number {
   return getHeldVersion(record, model) ?? 0;
 }
 
-function isDoubtful({ record, state }: IPlacementTarget, now: number): boolean {
-  return record.silent || record.loading || now < state.restUntil;
+function isUnavailable({ record, state }: IPlacementTarget, now: number): boolean {
+  return record.silent || record.loading || now < state.cooldownUntil;
 }
 
-interface IHomeTime {
+/** Whether a target is the home target of a subject, and what is left in its cache if it was. */
+interface IHomePeriod {
   readonly isHome: boolean;
-  /** Chance that the subject was read there while it was the home. */
+  /** Probability that the target computed the subject as its home target and still holds it. */
   readonly chance: number;
 }
 
-/** Targets that are or were the home of the request's subject since they loaded their weights. */
-function findHomeTimes(
+/** Home periods of the request's subject by target id, counted from when each target loaded its weights. */
+function findHomePeriods(
   request: IPlacementRequest,
-  subject: number | undefined,
+  subjectHash: number | undefined,
   targets: readonly IPlacementTarget[],
   now: number,
-): ReadonlyMap<string, IHomeTime> {
-  const homeTimes = new Map<string, IHomeTime>();
-  if (subject === undefined) {
-    return homeTimes;
+): ReadonlyMap<string, IHomePeriod> {
+  const homePeriods = new Map<string, IHomePeriod>();
+  if (subjectHash === undefined) {
+    return homePeriods;
   }
   const ranked = targets
     .filter((target) => !target.record.silent && !target.record.loading)
-    .map((target) => ({ target, score: hashBits(target.state.addressCode ^ subject) }))
+    .map((target) => ({ target, score: hashBits(target.state.addressHash ^ subjectHash) }))
     .sort((left, right) => right.score - left.score);
-  /** For each version the time since which a target of a higher rank has been there. */
-  const takenSince = new Map<number, number>();
+  /** For each weights version, the earliest time since which a target of a higher rank has held it. */
+  const supersededSince = new Map<number, number>();
   for (const { target } of ranked) {
-    const version = getVersion(request, target.record);
-    const until = takenSince.get(version);
-    const since = target.state.weightsAt;
+    const version = getWeightsVersion(request, target.record);
+    const until = supersededSince.get(version);
+    const since = target.state.weightsSince;
     const endedAt = Math.min(now, until ?? now);
-    const isKept = now - endedAt < KEPT_MS;
-    homeTimes.set(target.record.id, {
+    const isRetained = now - endedAt < CACHE_RETENTION_MS;
+    homePeriods.set(target.record.id, {
       isHome: until === undefined,
-      chance: isKept ? Math.min(1, Math.max(0, endedAt - since) / WARM_UP_MS) : 0,
+      chance: isRetained ? Math.min(1, Math.max(0, endedAt - since) / HOME_WARM_UP_MS) : 0,
     });
-    takenSince.set(version, Math.min(until ?? Number.POSITIVE_INFINITY, since));
+    supersededSince.set(version, Math.min(until ?? Number.POSITIVE_INFINITY, since));
   }
-  return homeTimes;
+  return homePeriods;
 }
 
-/** Parts of different models and walls differ; a rare equal code costs one fetch that finds nothing. */
+/**
+ * Includes the model and the isolation key, so that their parts differ. A collision is rare and costs one
+ * fetch that finds nothing.
+ */
 function hashPart(request: IPlacementRequest, part: IPromptPart): number {
-  return hashText(`${request.model ?? ''}/${request.cacheWall ?? ''}/${part.id}`);
+  return hashText(`${request.model ?? ''}/${request.isolationKey ?? ''}/${part.id}`);
 }
--- a/src/gateway/PromptSources.ts
+++ b/src/gateway/PromptSources.ts
@@ -1,66 +1,82 @@
-/** Chooses from where a target fetches shared parts of a prompt that it lacks. */
+/** Chooses the source from which a target fetches the shared prompt parts that it lacks. */
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import type { IHolding } from './PromptHolders.js';
 import type { IPromptPart } from './Types.js';
 
-/** Targets of each version that are considered as sources, so that the work does not grow with the fleet. */
+/** Candidate sources for each weights version; a bound, so that the effort does not grow with the fleet. */
 const MAX_SOURCES = 3;
 
-/** A source from which less is expected is not named; one that lacks the parts costs a millisecond. */
+/** Sources with a smaller expected gain are ignored; a fetch of parts that a source lacks costs 1 ms. */
 const MIN_GAINED_TOKENS = 50;
 
-/** Where a target fetches shared parts. */
+/** Target or store from which a target fetches shared parts. */
 export type PromptSource =
   { readonly kind: 'target'; readonly record: TargetRecord } | { readonly kind: 'store' };
 
-/** What a target is expected to have of the shared parts before it reads. */
-export interface ISupply {
+/** The chosen source and its expected effect for one target. */
+export interface ISourceChoice {
   readonly source: PromptSource | undefined;
   /** Shared tokens that are expected to be fetched. */
-  readonly movedTokens: number;
-  /** Shared tokens that are expected to be read again. */
+  readonly transferredTokens: number;
+  /** Shared tokens that are expected to be recomputed. */
   readonly missedTokens: number;
 }
 
-/** The targets of each version that are expected to hold most, best first. */
+/** For each weights version the targets that are expected to hold the most tokens, best first. */
 export function listSources(
   holdings: readonly IHolding[],
   parts: readonly IPromptPart[],
 ): ReadonlyMap<number, readonly IHolding[]> {
   const sources = new Map<number, IHolding[]>();
   const ordered = holdings
-    .filter((holding) => !holding.isDoubtful)
-    .map((holding) => ({ holding, tokens: sumExpected(parts, holding.chances) }))
+    .filter((holding) => !holding.isUnavailable)
+    .map((holding) => ({ holding, tokens: sumExpectedTokens(parts, holding.chances) }))
     .filter(({ tokens }) => tokens >= MIN_GAINED_TOKENS)
     .sort((left, right) => right.tokens - left.tokens);
   for (const { holding } of ordered) {
-    const same = sources.get(holding.version) ?? [];
-    if (same.length < MAX_SOURCES) {
-      same.push(holding);
-      sources.set(holding.version, same);
+    const listed = sources.get(holding.version) ?? [];
+    if (listed.length < MAX_SOURCES) {
+      listed.push(holding);
+      sources.set(holding.version, listed);
     }
   }
   return sources;
 }
 
-/** `storedParts` is the number of leading shared parts that the store holds for the target's weights. */
+/**
+ * Chooses the source with the fewest recomputed tokens.
+ *
+ * @param storedParts number of leading shared parts that the store holds for the target's weights
+ */
 export function chooseSource(
   holding: IHolding,
   sources: readonly IHolding[],
   parts: readonly IPromptPart[],
   storedParts: number,
-): ISupply {
-  const all = parts.reduce((sum, part) => sum + part.tokens, 0);
-  const held = sumExpected(parts, holding.chances);
-  let best: ISupply = { source: undefined, movedTokens: 0, missedTokens: all - held };
+): ISourceChoice {
+  const totalTokens = parts.reduce((sum, part) => sum + part.tokens, 0);
+  const heldTokens = sumExpectedTokens(parts, holding.chances);
+  let best: ISourceChoice = {
+    source: undefined,
+    transferredTokens: 0,
+    missedTokens: totalTokens - heldTokens,
+  };
   const consider = (source: PromptSource, chances: readonly number[]): void => {
-    const reached = sumExpected(parts, joinChances(holding.chances, chances));
-    if (reached - held >= MIN_GAINED_TOKENS && all - reached < best.missedTokens) {
-      best = { source, movedTokens: reached - held, missedTokens: all - reached };
+    const combinedTokens = sumExpectedTokens(parts, mergeChances(holding.chances, chances));
+    if (
+      combinedTokens - heldTokens >= MIN_GAINED_TOKENS &&
+      totalTokens - combinedTokens < best.missedTokens
+    ) {
+      best = {
+        source,
+        transferredTokens: combinedTokens - heldTokens,
+        missedTokens: totalTokens - combinedTokens,
+      };
     }
   };
   const others = sources.filter((other) => other !== holding);
-  // Of equal ones the first is kept: engines' links are faster than the store's, a guess comes last.
+  // Of equal sources the first wins: targets seen to hold the parts, whose links are faster than the
+  // store's, then the store, and last the targets that are only assumed to hold them.
   for (const other of others.filter(({ seenParts }) => seenParts > 0)) {
     consider({ kind: 'target', record: other.target.record }, other.chances);
   }
@@ -71,11 +87,12 @@
   for (const other of others.filter(({ seenParts }) => seenParts === 0)) {
     consider({ kind: 'target', record: other.target.record }, other.chances);
   }
-  // An engine may have dropped what it is expected to hold. A source that is not needed costs nothing.
-  return { ...best, source: best.source ?? pickSpare(others, storedParts) };
+  // The target may have evicted what it is expected to hold, and an unused source costs nothing.
+  return { ...best, source: best.source ?? pickFallback(others, storedParts) };
 }
 
-function pickSpare(others: readonly IHolding[], storedParts: number): PromptSource | undefined {
+/** Source for the case that the target has evicted parts; undefined if none certainly holds a part. */
+function pickFallback(others: readonly IHolding[], storedParts: number): PromptSource | undefined {
   if (storedParts > 0) {
     return { kind: 'store' };
   }
@@ -83,11 +100,12 @@
   return seen && { kind: 'target', record: seen.target.record };
 }
 
-/** For each part the chance that at least one of two holders has it. */
-function joinChances(own: readonly number[], other: readonly number[]): readonly number[] {
+/** For each part the probability that at least one of two targets holds it. */
+function mergeChances(own: readonly number[], other: readonly number[]): readonly number[] {
   return own.map((chance, i) => 1 - (1 - chance) * (1 - (other[i] ?? 0)));
 }
 
-function sumExpected(parts: readonly IPromptPart[], chances: readonly number[]): number {
+/** Expected number of tokens that are held. */
+function sumExpectedTokens(parts: readonly IPromptPart[], chances: readonly number[]): number {
   return parts.reduce((sum, part, i) => sum + part.tokens * (chances[i] ?? 0), 0);
 }
--- a/src/gateway/Silence.ts
+++ b/src/gateway/Silence.ts
@@ -1,36 +1,36 @@
 /**
- * Tells a target that has gone silent from one that is busy. A lost machine answers nothing and breaks no
- * connection; a busy one still sends something to one of its callers.
+ * Distinguishes a silent target from a busy one. A host that fails sends nothing and closes no connection,
+ * so that no request to it gets an error. A busy target still sends bytes to some of its clients.
  */
 
-/** A target that works sends something to one of its callers within this time. */
-const SIGN_OF_LIFE_MS = 1_000;
+/** A working target with open requests sends bytes for at least one of them within this time. */
+const ACTIVITY_TIMEOUT_MS = 1_000;
 
-/** The first byte may take this much longer than expected before the target is suspected. */
+/** The first byte is overdue after `expectedMs * FIRST_BYTE_FACTOR + FIRST_BYTE_GRACE_MS`. */
 const FIRST_BYTE_FACTOR = 3;
 const FIRST_BYTE_GRACE_MS = 700;
 
-/** Pause within an answer after which the target is suspected; engines send an event every 240 ms. */
-const PAUSE_MS = 1_000;
+/** Time without a byte within a response after which it has stalled; engines send an event every 240 ms. */
+const STALL_TIMEOUT_MS = 1_000;
 
-/** What is known of one request and its target; times in milliseconds of the monotonic clock. */
+/** Times of one request and its target, in milliseconds of the monotonic clock. */
 export interface ISilenceView {
   readonly sentAt: number;
   /** Expected time to the first byte. */
   readonly expectedMs: number;
-  /** Last byte of this answer; undefined before the first. */
+  /** When the last byte of this response arrived; undefined before the first. */
   readonly lastByteAt: number | undefined;
-  /** Last byte that the target sent to any request of this entry. */
-  readonly aliveAt: number;
+  /** When the target last sent a byte in response to any request of this entry. */
+  readonly lastActivityAt: number;
 }
 
-/** True if the target is to be taken as lost. */
+/** True if the target counts as failed: neither this request nor any other makes progress. */
 export function isSilent(view: ISilenceView, now: number): boolean {
-  const { sentAt, expectedMs, lastByteAt, aliveAt } = view;
-  if (now - Math.max(aliveAt, sentAt) < SIGN_OF_LIFE_MS) {
+  const { sentAt, expectedMs, lastByteAt, lastActivityAt } = view;
+  if (now - Math.max(lastActivityAt, sentAt) < ACTIVITY_TIMEOUT_MS) {
     return false;
   }
   return lastByteAt === undefined
     ? now - sentAt > expectedMs * FIRST_BYTE_FACTOR + FIRST_BYTE_GRACE_MS
-    : now - lastByteAt > PAUSE_MS;
+    : now - lastByteAt > STALL_TIMEOUT_MS;
 }
--- a/src/gateway/StoreIndex.ts
+++ b/src/gateway/StoreIndex.ts
@@ -1,41 +1,41 @@
-/** Follows what the store of KV cache holds, from the events that it publishes. */
+/** Tracks which prompt parts the KV cache store holds, from the events that the store publishes. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
 import type { FleetView } from '../fleet/FleetView.js';
 
-/** Time for which the store holds a question open while nothing changes. */
-const WAIT_MS = 1_000;
+/** Time for which the store keeps a long poll open while there are no events. */
+const LONG_POLL_MS = 1_000;
 
-/** Limit of one question. */
-const CALL_LIMIT_MS = WAIT_MS + 400;
+/** Includes 400 ms beyond the long poll for the round trip and the store's own delay. */
+const POLL_TIMEOUT_MS = LONG_POLL_MS + 400;
 
-/** Between two questions, so that a store with much news is not asked without pause. */
-const PAUSE_MS = 400;
+/** A store with a steady flow of events answers at once; without an interval it would be polled in a loop. */
+const MIN_POLL_INTERVAL_MS = 400;
 
-/** The store answers a limited number of questions at once, so many entries ask less often. */
-const PAUSE_PER_ENTRY_MS = 60;
+/** The store serves a limited number of polls at a time, so the interval grows with the number of entries. */
+const POLL_INTERVAL_PER_ENTRY_MS = 60;
 
-/** A part that was sent there is expected to be held; its event comes later. */
-const EXPECTED_MS = 1_500;
+/** A part sent to the store counts as in transit until its event arrives, but no longer than this. */
+const TRANSFER_TIMEOUT_MS = 1_500;
 
-/** A part that came to the store or left it. */
+/** A prompt part was added to the store or removed from it. */
 export interface IStoreEvent {
   readonly isAdded: boolean;
   readonly scope: string;
   readonly part: string;
 }
 
-/** News of a store after a position. */
+/** Events of a store from a position on. */
 export interface IStoreNews {
-  /** Changes when the store restarts, empty. */
+  /** Differs after each restart of the store, which begins empty. */
   readonly epoch: number;
-  /** Position to ask for next. */
+  /** Position from which to poll next. */
   readonly next: number;
   readonly events: readonly IStoreEvent[];
 }
 
-/** Asks a store for its news; rejects if it does not answer. */
+/** Long-polls a store for events from position `since` on; rejects if the store does not answer. */
 export type StoreQuestion = (
   address: string,
   since: number,
@@ -43,98 +43,105 @@
   signal: AbortSignal,
 ) => Promise<IStoreNews>;
 
+/**
+ * Index of the prompt parts that the KV cache store holds or is being sent. Follows the store named in the
+ * configuration; while the store does not answer, nothing counts as held.
+ */
 export class StoreIndex {
   private readonly _held = new Set<string>();
-  private readonly _expected = new Map<string, number>();
+  private readonly _inTransit = new Map<string, number>();
   private _address: string | undefined;
-  private _isUp = false;
+  private _isAvailable = false;
   private _epoch = 0;
-  private _next = 0;
+  private _nextPosition = 0;
 
   constructor(
     private readonly _view: FleetView,
-    private readonly _ask: StoreQuestion,
+    private readonly _poll: StoreQuestion,
     private readonly _clock: IClock,
     private readonly _log: ILog,
   ) {}
 
-  /** Address of the store; undefined if there is none or it does not answer. */
+  /** Address of the store; undefined if none is configured or it does not answer. */
   public get address(): string | undefined {
-    return this._isUp ? this._address : undefined;
+    return this._isAvailable ? this._address : undefined;
   }
 
   public isHeld(scope: string, part: string): boolean {
-    return this._isUp && this._held.has(formatKey(scope, part));
+    return this._isAvailable && this._held.has(formatKey(scope, part));
   }
 
-  /** True if the part is held or on its way to the store. */
-  public isExpected(scope: string, part: string, now: number): boolean {
-    const until = this._expected.get(formatKey(scope, part));
+  /** True if the store holds the part or a target was asked to send it lately. */
+  public isHeldOrInTransit(scope: string, part: string, now: number): boolean {
+    const until = this._inTransit.get(formatKey(scope, part));
     return this.isHeld(scope, part) || (until !== undefined && now < until);
   }
 
-  /** Notes that a target was told to send a part to the store. */
-  public noteSent(scope: string, part: string, now: number): void {
-    for (const [key, until] of this._expected) {
+  /** Records that a target was asked to send a part to the store. */
+  public recordSent(scope: string, part: string, now: number): void {
+    for (const [key, until] of this._inTransit) {
       if (now < until) {
         break;
       }
-      this._expected.delete(key);
+      this._inTransit.delete(key);
     }
     const key = formatKey(scope, part);
-    this._expected.delete(key);
-    this._expected.set(key, now + EXPECTED_MS);
+    this._inTransit.delete(key);
+    this._inTransit.set(key, now + TRANSFER_TIMEOUT_MS);
   }
 
-  /** Follows the store that the configuration names until the signal is aborted. */
+  /** Polls the store named in the configuration until the signal is aborted. */
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       const services = this._view.table?.configuration.services ?? [];
       const address = services.find((service) => service.storeAddress !== undefined)?.storeAddress;
       if (address !== this._address) {
         this._address = address;
-        this._isUp = false;
+        this._isAvailable = false;
         this._reset(0);
       }
       if (address !== undefined) {
-        await this._queryOnce(address, signal);
+        await this._pollOnce(address, signal);
       }
-      await sleep(Math.max(PAUSE_MS, this._view.entries * PAUSE_PER_ENTRY_MS), signal);
+      await sleep(
+        Math.max(MIN_POLL_INTERVAL_MS, this._view.entries * POLL_INTERVAL_PER_ENTRY_MS),
+        signal,
+      );
     }
   }
 
-  /** Applies news; those of another epoch begin with an empty store. */
-  public apply(news: IStoreNews): void {
-    if (news.epoch !== this._epoch) {
-      this._reset(news.epoch);
+  /** Applies a batch of events. If its epoch is new, the store has restarted and the index is cleared first. */
+  public apply(batch: IStoreNews): void {
+    if (batch.epoch !== this._epoch) {
+      this._reset(batch.epoch);
     }
-    for (const { isAdded, scope, part } of news.events) {
+    for (const { isAdded, scope, part } of batch.events) {
       if (isAdded) {
         this._held.add(formatKey(scope, part));
       } else {
         this._held.delete(formatKey(scope, part));
       }
     }
-    this._next = news.next;
-    this._setUp(true, 'it answers');
+    this._nextPosition = batch.next;
+    this._setAvailable(true, 'the store answers');
   }
 
-  private async _queryOnce(address: string, signal: AbortSignal): Promise<void> {
+  private async _pollOnce(address: string, signal: AbortSignal): Promise<void> {
     try {
-      const news = await runWithLimit(signal, CALL_LIMIT_MS, (limited) =>
-        this._ask(address, this._next, WAIT_MS, limited),
+      const batch = await runWithLimit(signal, POLL_TIMEOUT_MS, (limited) =>
+        this._poll(address, this._nextPosition, LONG_POLL_MS, limited),
       );
-      const isRestarted = this._epoch !== 0 && news.epoch !== this._epoch;
-      this.apply(isRestarted ? { ...news, events: [], next: 0 } : news);
+      const isRestarted = this._epoch !== 0 && batch.epoch !== this._epoch;
+      this.apply(isRestarted ? { ...batch, events: [], next: 0 } : batch);
     } catch (error) {
-      this._setUp(false, describeError(error));
+      this._setAvailable(false, describeError(error));
     }
   }
 
-  private _setUp(isUp: boolean, reason: string): void {
-    if (isUp !== this._isUp) {
-      this._isUp = isUp;
-      this._log.info(isUp ? 'store regained' : 'store lost', {
+  private _setAvailable(isAvailable: boolean, reason: string): void {
+    if (isAvailable !== this._isAvailable) {
+      this._isAvailable = isAvailable;
+      this._log.info(isAvailable ? 'store regained' : 'store lost', {
         address: this._address,
         reason,
         parts: this._held.size,
@@ -145,9 +152,9 @@
 
   private _reset(epoch: number): void {
     this._held.clear();
-    this._expected.clear();
+    this._inTransit.clear();
     this._epoch = epoch;
-    this._next = 0;
+    this._nextPosition = 0;
   }
 }
 
--- a/src/gateway/TargetStates.ts
+++ b/src/gateway/TargetStates.ts
@@ -1,87 +1,90 @@
-/** What this entry knows of each target from its own requests. */
+/** Per-target state of this entry: requests in progress, failures, cooldown, response times and load. */
 import type { TargetRecord, TargetWork } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { hashText } from '../policy/TargetTable.js';
 import type { IToldLoad } from './Types.js';
 
-/** Tokens beyond which a stream is expected to last for seconds on a busy engine (about 40 ms a token). */
+/** Streams with more output tokens last for seconds on a busy engine, which takes about 40 ms a token. */
 export const LONG_STREAM_TOKENS = 100;
 
-/** A target that failed is left alone for this long, doubled with each further failure. */
-const FIRST_REST_MS = 250;
-const LONGEST_REST_MS = 4_000;
+/** Cooldown of a target after failures; doubles with each further failure up to the maximum. */
+const MIN_COOLDOWN_MS = 250;
+const MAX_COOLDOWN_MS = 4_000;
 
-/** Failures in a row before a target is left alone; a single one may be chance. */
-const FAILURES_BEFORE_REST = 2;
+/** Consecutive failures that start a cooldown; a single failure may be accidental. */
+const FAILURES_BEFORE_COOLDOWN = 2;
 
-/** A target that turned a request away as full is left alone for this long. */
-const BUSY_REST_MS = 150;
+/** Cooldown of a target that refused a request because it is full or loads weights. */
+const BUSY_COOLDOWN_MS = 150;
 
-/** Age beyond which a told load says nothing. */
-const LOAD_KEPT_MS = 1_000;
+/** Age beyond which a reported load is ignored. */
+const MAX_LOAD_AGE_MS = 1_000;
 
-/** Weight of one answer in a target's slowness, and its bounds. */
-const SLOWNESS_WEIGHT = 0.15;
+/** Weight of one sample in the moving average of a target's slowness, and the bounds of a sample. */
+const SLOWNESS_SMOOTHING_FACTOR = 0.15;
 const MIN_SLOWNESS = 0.7;
 const MAX_SLOWNESS = 4;
 
-/** Without answers a target's slowness is forgotten with this time constant. */
-const SLOWNESS_KEPT_MS = 4_000;
+/** Without new samples the slowness of a target decays towards 1 with this time constant. */
+const SLOWNESS_TIME_CONSTANT_MS = 4_000;
 
-/** Own record of one start of a target. */
+/** State of one run of a target; a restart creates a new one. */
 export interface ITargetState {
   readonly born: number;
   /** Hash of the address, for rendezvous hashing. */
-  readonly addressCode: number;
-  /** Weights that the target holds, and since when this entry knows; its cache was empty then. */
+  readonly addressHash: number;
+  /** Weights that the target holds, and when this entry learned of them; the cache was empty then. */
   weights: string;
-  weightsAt: number;
-  /** Own requests in progress. */
+  weightsSince: number;
+  /** Requests of this entry in progress. */
   open: number;
-  /** Prompt tokens of own requests that have no first event yet. */
+  /** Prompt tokens of this entry's requests that have not received a first byte. */
   pendingTokens: number;
-  /** Own streams in progress that were expected to last. */
+  /** Streams of this entry in progress that were expected to exceed `LONG_STREAM_TOKENS`. */
   longStreams: number;
-  /** Time to the first byte as a multiple of what was expected, averaged over the last answers. */
+  /** Moving average of the ratio of actual to expected time to the first byte. */
   slowness: number;
-  slownessAt: number;
+  slownessUpdatedAt: number;
+  /** Consecutive failures. */
   failures: number;
-  restUntil: number;
-  /** Time of the last sign of life: any byte of any answer. */
-  aliveAt: number;
+  cooldownUntil: number;
+  /** When the target last sent a byte of any response to this entry. */
+  lastActivityAt: number;
   load: (IToldLoad & { readonly at: number }) | undefined;
 }
 
+/** Holds the state of each target by its id. */
 export class TargetStates {
   private readonly _states = new Map<string, ITargetState>();
 
+  /** Returns the state of the current run of the target, and creates it if there is none. */
   public ensure(target: TargetRecord, now: number): ITargetState {
     const weights = target.models.map(({ name, version }) => `${name}@${version}`).join();
     let state = this._states.get(target.id);
     if (state?.born !== target.born) {
       state = {
         born: target.born,
-        addressCode: hashText(target.address),
+        addressHash: hashText(target.address),
         weights,
-        weightsAt: now,
+        weightsSince: now,
         open: 0,
         pendingTokens: 0,
         longStreams: 0,
         slowness: 1,
-        slownessAt: Number.NEGATIVE_INFINITY,
+        slownessUpdatedAt: Number.NEGATIVE_INFINITY,
         failures: 0,
-        restUntil: 0,
-        aliveAt: Number.NEGATIVE_INFINITY,
+        cooldownUntil: 0,
+        lastActivityAt: Number.NEGATIVE_INFINITY,
         load: undefined,
       };
       this._states.set(target.id, state);
     } else if (state.weights !== weights) {
       state.weights = weights;
-      state.weightsAt = now;
+      state.weightsSince = now;
     }
     return state;
   }
 
-  /** Own work for the exchange with the hub. */
+  /** Targets with requests of this entry in progress, as reported to the hub. */
   public listOpen(): Pick<TargetWork, 'id' | 'open' | 'pendingTokens' | 'longStreams'>[] {
     return [...this._states]
       .filter(([, state]) => state.open > 0)
@@ -93,6 +96,7 @@
       }));
   }
 
+  /** Drops the state of a target unless requests to it are in progress. */
   public forget(id: string): void {
     const state = this._states.get(id);
     if (state?.open === 0) {
@@ -101,54 +105,60 @@
   }
 }
 
-export function noteGood(state: ITargetState): void {
+/** Resets the failure count and ends a cooldown. */
+export function recordSuccess(state: ITargetState): void {
   state.failures = 0;
-  state.restUntil = 0;
+  state.cooldownUntil = 0;
 }
 
-/** Counts a failure; several in a row take the target out for a while. */
-export function noteFailure(state: ITargetState, now: number): void {
+/** Counts a failure. From `FAILURES_BEFORE_COOLDOWN` consecutive ones on the target gets a cooldown. */
+export function recordFailure(state: ITargetState, now: number): void {
   state.failures += 1;
-  const doublings = state.failures - FAILURES_BEFORE_REST;
+  const doublings = state.failures - FAILURES_BEFORE_COOLDOWN;
   if (doublings >= 0) {
-    state.restUntil = now + Math.min(LONGEST_REST_MS, FIRST_REST_MS * 2 ** doublings);
+    state.cooldownUntil = now + Math.min(MAX_COOLDOWN_MS, MIN_COOLDOWN_MS * 2 ** doublings);
   }
 }
 
-/** A target that can't be reached at all is left alone at once. */
-export function noteUnreachable(state: ITargetState, now: number): void {
-  state.failures = Math.max(state.failures, FAILURES_BEFORE_REST - 1);
-  noteFailure(state, now);
+/** Counts a failure of a target that cannot be reached; starts a cooldown at once. */
+export function recordUnreachable(state: ITargetState, now: number): void {
+  state.failures = Math.max(state.failures, FAILURES_BEFORE_COOLDOWN - 1);
+  recordFailure(state, now);
 }
 
-/** Counts a refusal of a target that is full or loads weights. */
-export function noteBusy(state: ITargetState, now: number): void {
-  state.restUntil = Math.max(state.restUntil, now + BUSY_REST_MS);
+/** Starts a short cooldown after a refusal by a target that is full or loads weights. */
+export function recordBusy(state: ITargetState, now: number): void {
+  state.cooldownUntil = Math.max(state.cooldownUntil, now + BUSY_COOLDOWN_MS);
 }
 
-/** How much slower than expected the target answers now. */
+/** Ratio of actual to expected time to the first byte, decayed to the given time; 1 is as expected. */
 export function getSlowness(state: ITargetState, now: number): number {
-  return 1 + (state.slowness - 1) * Math.exp(-(now - state.slownessAt) / SLOWNESS_KEPT_MS);
+  return (
+    1 +
+    (state.slowness - 1) * Math.exp(-(now - state.slownessUpdatedAt) / SLOWNESS_TIME_CONSTANT_MS)
+  );
 }
 
-/** Learns from the time to the first byte of one answer. */
-export function noteFirstByte(
+/** Updates the slowness with the time to the first byte of one response. */
+export function recordFirstByte(
   state: ITargetState,
   expectedMs: number,
   actualMs: number,
   now: number,
 ): void {
   const ratio = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, actualMs / Math.max(1, expectedMs)));
-  const before = getSlowness(state, now);
-  state.slowness = before + SLOWNESS_WEIGHT * (ratio - before);
-  state.slownessAt = now;
+  const previous = getSlowness(state, now);
+  state.slowness = previous + SLOWNESS_SMOOTHING_FACTOR * (ratio - previous);
+  state.slownessUpdatedAt = now;
 }
 
-export function noteLoad(state: ITargetState, load: IToldLoad, now: number): void {
+export function recordLoad(state: ITargetState, load: IToldLoad, now: number): void {
   state.load = { ...load, at: now };
 }
 
-/** The load that the target told lately. */
-export function getFreshLoad(state: ITargetState, now: number): IToldLoad | undefined {
-  return state.load !== undefined && now - state.load.at <= LOAD_KEPT_MS ? state.load : undefined;
+/** Load that the target last reported; undefined if it is older than `MAX_LOAD_AGE_MS`. */
+export function getRecentLoad(state: ITargetState, now: number): IToldLoad | undefined {
+  return state.load !== undefined && now - state.load.at <= MAX_LOAD_AGE_MS
+    ? state.load
+    : undefined;
 }
--- a/src/gateway/Types.ts
+++ b/src/gateway/Types.ts
@@ -1,16 +1,16 @@
-/** Interfaces between the data path and what carries its requests and answers. */
+/** Interfaces between the request path and the protocols to clients and targets. */
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 
-/** A part of a prompt; requests that begin with the same parts share them. */
+/** A part of a prompt. Requests whose prompts begin with the same parts can share their KV cache. */
 export interface IPromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** Names and values in turn, as they came. */
+/** Alternating header names and values, in the order in which they were received. */
 export type RawHeaders = readonly string[];
 
-/** One request of a client, read in full. */
+/** One request of a client whose body has been read completely. */
 export interface ICall {
   readonly id: string;
   readonly method: string;
@@ -18,20 +18,20 @@
   /** Path without query. */
   readonly path: string;
   readonly key: string | undefined;
-  /** Time for which the client will wait, from the arrival. */
+  /** Time limit of the client, counted from the arrival; undefined if it set none. */
   readonly deadlineMs: number | undefined;
   readonly model: string | undefined;
   readonly promptTokens: number | undefined;
-  /** Most tokens to generate. */
+  /** Maximum number of tokens to generate. */
   readonly outputTokens: number | undefined;
   /** The client's estimate of the tokens to generate. */
   readonly lengthHint: number | undefined;
   readonly parts: readonly IPromptPart[];
-  /** Number of the last event that the client has; undefined for a stream from the start. */
+  /** Id of the last event that the client received; undefined unless it resumes a stream. */
   readonly resumeAfter: number | undefined;
-  /** Time of the arrival, on the process's monotonic clock. */
+  /** Time of arrival on the monotonic clock of the process. */
   readonly arrivedAt: number;
-  /** Aborted when the client leaves. */
+  /** Aborted when the client disconnects. */
   readonly signal: AbortSignal;
 }
 
@@ -48,72 +48,72 @@
   | 'time_limit'
   | 'stopping';
 
-/** Takes the answer to a call. Exactly one of `refuse`, `end` and `cut` ends it. */
+/** Writes the response to a call to the client. Exactly one of `refuse`, `end` and `cut` ends it. */
 export interface IAnswerSink {
   readonly isStarted: boolean;
   start(status: number, headers: RawHeaders): void;
-  /** False: wait for `waitWritable` before the next chunk. */
+  /** Returns false if the caller must await `waitWritable` before the next write. */
   write(chunk: Uint8Array): boolean;
   waitWritable(): Promise<void>;
   end(): void;
-  /** Ends an answer that began so that it can't be taken for a complete one. */
+  /** Aborts a started response so that the client cannot mistake it for a complete one. */
   cut(): void;
-  /** Answers in the router's own name. */
+  /** Responds with an error of the router itself. */
   refuse(status: number, reason: RefusalReason, retryAfterMs: number | undefined): void;
 }
 
-/** What the router adds to a request for one target. */
+/** Fields that the router adds to a request when it sends it to a target. */
 export interface IDispatch {
   readonly deadlineMs: number;
   readonly clientAccount: string | undefined;
-  /** From 0, the most urgent, to 9. */
+  /** From 0 (most urgent) to 9. */
   readonly priority: number;
-  /** Requests with different scopes share no cached prompt part, wherever it is moved. */
+  /** Requests with different scopes share no cached prompt part, also after a transfer of the cache. */
   readonly cacheScope: string | undefined;
-  /** Version of the weights that the target must hold; undefined where it has none. */
+  /** Weights version that the target must hold; undefined if the target has no weights of the model. */
   readonly weightsVersion: number | undefined;
-  /** Address of the target from whose memory shared prompt parts are fetched. */
+  /** Address of the target or store from which the target fetches shared prompt parts. */
   readonly cacheSource: string | undefined;
-  /** Address of the store that gets the prompt parts that the target reads. */
+  /** Address of the store to which the target sends the prompt parts that it computes. */
   readonly cacheStore: string | undefined;
   readonly resumeAfter: number | undefined;
 }
 
-/** Load that a target told with an answer. */
+/** Load that a target reported with a response. */
 export interface IToldLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** Head of a target's answer. */
+/** Status, headers and routing metadata of a target's response. */
 export interface ITargetHead {
   readonly status: number;
   readonly headers: RawHeaders;
-  /** False: the answer belongs to another request. */
+  /** False if the response belongs to another request. */
   readonly isOwn: boolean;
-  /** True: the target says that it did not run the request. */
+  /** True if the target states that it did not run the request. */
   readonly isNotRun: boolean;
-  /** True: another target has this address. */
+  /** True if another target has this address now. */
   readonly isOtherTarget: boolean;
   readonly load: IToldLoad | undefined;
 }
 
-/** Hears of the progress of a request at a target. Ends with `onEnd` or `onError`. */
+/** Receives the response of a target. `onEnd` or `onError` is the last call. */
 export interface ITargetListener {
   onHead(head: ITargetHead): void;
   onData(chunk: Buffer): void;
   onEnd(): void;
-  /** `wasSent` is false if no byte of the request left. */
+  /** `wasSent` is false if no byte of the request was sent, so that the target cannot have run it. */
   onError(reason: string, wasSent: boolean): void;
 }
 
-/** A request on its way to a target. */
+/** A request in progress at a target. */
 export interface ITargetExchange {
   readonly wasSent: boolean;
   pause(): void;
   resume(): void;
-  /** Ends the exchange; the target drops the request. Calls no listener. */
+  /** Closes the exchange so that the target cancels the request. Calls no method of the listener. */
   abort(): void;
 }
 
