--- a/src/gateway/CallRunner.test.ts
+++ b/src/gateway/CallRunner.test.ts
@@ -207,7 +207,7 @@
     ['configuration', { isUnconfigured: true }],
     ['target', { targets: 0 }],
   ])(
-    'after a restart of all processes: Retry-After lasts until there is a %s',
+    'simultaneous stop of all processes: Retry-After lasts until there is a %s again',
     async (_name, setup) => {
       const { sink } = await runCall([], setup);
       expect(sink.status).toBe(503);
--- a/src/gateway/CallRunner.ts
+++ b/src/gateway/CallRunner.ts
@@ -33,7 +33,7 @@
 const QUOTA_WAIT_MS = 150;
 
 /**
- * Retry-After while there is no configuration or no target. When all processes restart together, both
+ * Retry-After while there is no configuration or no target. After a simultaneous stop of all processes both
  * arrive about 0.8 s after the start of a process, and many clients retry only once.
  */
 const NOT_READY_RETRY_AFTER_MS = 1_000;
@@ -293,13 +293,15 @@
     if (model === undefined) {
       return targets;
     }
-    const softMinVersion = view.weights.getDue(model, weights.softMs, now);
-    const preferred = targets.filter((record) => hasMinVersion(record, model, softMinVersion));
+    const softRequiredVersion = view.weights.getDue(model, weights.softMs, now);
+    const preferred = targets.filter((record) =>
+      hasRequiredVersion(record, model, softRequiredVersion),
+    );
     if (preferred.length > 0) {
       return preferred;
     }
-    const hardMinVersion = view.weights.getDue(model, weights.hardMs, now);
-    return targets.filter((record) => hasMinVersion(record, model, hardMinVersion));
+    const hardRequiredVersion = view.weights.getDue(model, weights.hardMs, now);
+    return targets.filter((record) => hasRequiredVersion(record, model, hardRequiredVersion));
   }
 
   private _describeRequest(call: T, { account, route, service }: IAdmittedCall): IPlacementRequest {
@@ -571,8 +573,8 @@
 }
 
 /** True also for targets without the model, to which weights do not apply. */
-function hasMinVersion(record: TargetRecord, model: string, minVersion: number): boolean {
-  return (getHeldVersion(record, model) ?? minVersion) >= minVersion;
+function hasRequiredVersion(record: TargetRecord, model: string, requiredVersion: number): boolean {
+  return (getHeldVersion(record, model) ?? requiredVersion) >= requiredVersion;
 }
 
 /** Quota tokens of a call; the account's default if the request states no token counts. */
