--- a/src/policy/BasePolicy.ts
+++ b/src/policy/BasePolicy.ts
@@ -1,4 +1,4 @@
-/** What all policies have in common: the load view and its upkeep. */
+/** Code that the routing policies share. */
 import { LoadView } from './LoadView.js';
 import type {
   ChainHash,
@@ -12,12 +12,12 @@
   RouteReason,
 } from './Types.js';
 
-/** True when the target may get new work. */
+/** True if the target may get new requests. */
 export function isUsable(target: ITargetView): boolean {
   return target.healthy && !target.draining;
 }
 
-/** Result when no target is usable. */
+/** Decision for the case that no target is usable. */
 export function explainNone(targets: readonly ITargetView[]): INoDecision {
   return {
     kind: 'none',
@@ -25,7 +25,10 @@
   };
 }
 
-/** Base of the policies that know only the load. */
+/**
+ * Base class of the policies. Maintains the view of the targets' load, which is all that the baseline
+ * policies know about the targets.
+ */
 export abstract class BasePolicy implements IRoutingPolicy {
   public abstract readonly name: string;
   protected readonly loads = new LoadView();
@@ -62,13 +65,13 @@
     }
   }
 
-  /** Policies without an index of prefixes have nothing to correct. */
+  /** Does nothing: policies without a prefix index have nothing to correct. */
   public onEvicted(target: ITargetView, hashes: readonly ChainHash[]): void;
   public onEvicted(): void {
     return;
   }
 
-  /** Policies without an index of prefixes have nothing to learn. */
+  /** Does nothing: policies without a prefix index have nothing to learn. */
   public onCached(target: ITargetView, hashes: readonly ChainHash[], now: number): void;
   public onCached(): void {
     return;
@@ -78,7 +81,7 @@
     this.loads.drop(targetId);
   }
 
-  /** Decision without an estimate. */
+  /** Decision for the target without estimates and without a limit on the time to first token. */
   protected decide(target: ITargetView, reason: RouteReason): IRouteDecision {
     return {
       kind: 'target',
--- a/src/policy/CreatePolicy.ts
+++ b/src/policy/CreatePolicy.ts
@@ -1,11 +1,11 @@
-/** Creates the policy that the settings name. */
+/** Creates the routing policy named in the settings. */
 import { DefaultPolicy } from './DefaultPolicy.js';
 import { LeastLoad } from './LeastLoad.js';
 import { PrefixHash } from './PrefixHash.js';
 import { RoundRobin } from './RoundRobin.js';
 import type { IRandom, IRoutingPolicy } from './Types.js';
 
-/** Evidence kept for each service: about 7 MB, so that five models stay within the memory of a node. */
+/** Entries of the prefix index of each service: about 7 MB, so that five models fit into a node's memory. */
 const MAX_INDEX_ENTRIES = 20_000;
 
 export type PolicyName = 'default' | 'round-robin' | 'least-load' | 'prefix-hash';
--- a/src/policy/DefaultPolicy.ts
+++ b/src/policy/DefaultPolicy.ts
@@ -1,4 +1,4 @@
-/** Policy that weighs cached prefixes against queued work. */
+/** Routing policy that weighs cached prefixes against queueing time. */
 import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
 import { CacheLifetime } from './CacheLifetime.js';
 import { Estimator } from './Estimator.js';
@@ -20,44 +20,44 @@
   type RouteReason,
 } from './Types.js';
 
-/** Fleets up to this size are scored as a whole; larger ones by a sample. */
-const SMALL_FLEET = 32;
+/** Up to this number all targets are scored; of more targets, only a sample. */
+const MAX_FULLY_SCORED_TARGETS = 32;
 
-/** Targets drawn at random in a large fleet, in case that all homes and holders are busy. */
+/** Targets sampled at random in a large fleet, for the case that all home targets and holders are busy. */
 const SAMPLED_TARGETS = 8;
 
-/** Targets with evidence that are scored, those with the longest prefix first. */
+/** Holders that are scored: the targets with evidence of the longest prefixes. */
 const MAX_MATCHES = 16;
 
-/** Homes that are scored; of more homes a run from a random one on. */
+/** Home targets that are scored; of more, consecutive ones from a random position on. */
 const MAX_SCORED_HOMES = 16;
 
-/** Estimates within this distance of the smallest count as equal. */
-const NEAR_MS = 5;
-const NEAR_SHARE = 0.03;
+/** Costs that exceed the smallest by no more than the larger of these two count as equal. */
+const TIE_TOLERANCE_MS = 5;
+const TIE_TOLERANCE_SHARE = 0.03;
 
 /**
- * Charge on a target that is neither home nor holder, as a multiple of its prefill time. A spilled
- * prefix displaces another one and makes later requests of other entries miss.
+ * Penalty for a target that is neither home target nor holder, as a multiple of its prefill time. The
+ * prefix evicts another one there, which later requests of other entries then miss.
  */
-const SPILL_CHARGE = 1;
+const SPILL_PENALTY = 1;
 
 /**
- * Charge on recomputing missed tokens, as a multiple of their prefill time: the requests behind this
+ * Penalty for recomputing missed tokens, as a multiple of their prefill time: requests queued behind this
  * one wait for them too.
  */
-const RECOMPUTE_CHARGE = 0.3;
+const RECOMPUTE_PENALTY = 0.3;
 
-/** Refusals of busy targets for one request; after them a target accepts whatever its queue. */
+/** After this many refusals by busy targets, the next target must accept the request whatever its queue. */
 const MAX_REFUSALS = 2;
 
-/** Requests whose refusals are remembered, so that abandoned ones do not add up. */
+/** Requests whose refusals are counted; a bound, so that abandoned requests do not accumulate. */
 const MAX_REFUSED_REQUESTS = 1_000;
 
-/** A refusal costs a round trip and a decision, and the estimates are not exact. */
-const LIMIT_MARGIN_MS = 50;
+/** Added to `maxTtftMs`, since a refusal costs a round trip and a decision, and estimates are not exact. */
+const MAX_TTFT_MARGIN_MS = 50;
 
-/** Settings that differ between experiments. */
+/** Dependencies and settings of a `DefaultPolicy`. */
 export interface IDefaultPolicyOptions {
   /** Data centre of this process. */
   readonly dataCentre: string;
@@ -65,13 +65,13 @@
   readonly index?: Partial<IPrefixIndexLimits>;
 }
 
-interface IScored {
+interface IScoredTarget {
   readonly target: ITargetView;
   readonly reason: RouteReason;
   readonly cachedTokens: number;
   readonly waitMs: number;
   readonly ttftMs: number;
-  /** Estimate that is compared; it includes preferences that are not part of the time. */
+  /** Value by which targets are compared: `ttftMs` plus penalties. */
   readonly cost: number;
 }
 
@@ -83,8 +83,8 @@
 }
 
 /**
- * Chooses the target with the smallest estimated time to first token among those with evidence of
- * the prefix and the homes of the prefix.
+ * Chooses the target with the least cost, which is the estimated time to first token plus penalties, among
+ * the holders and the home targets of the prefix and a sample of the others.
  *
  * @example
  * const policy = new DefaultPolicy({ dataCentre: 'dar-1', random: Math.random });
@@ -93,16 +93,16 @@
 export class DefaultPolicy extends BasePolicy {
   public readonly name = 'default';
   private readonly _random: IRandom;
-  private readonly _table = new TargetTable();
+  private readonly _targetTable = new TargetTable();
   private readonly _heat = new PrefixHeat();
-  private readonly _homes = new PrefixHomes(this._table, this._heat);
+  private readonly _homes = new PrefixHomes(this._targetTable, this._heat);
   private readonly _index: PrefixIndex;
-  private readonly _lifetime = new CacheLifetime();
+  private readonly _lifetimes = new CacheLifetime();
   private readonly _estimator: Estimator;
-  /** How often busy targets refused a request that is still open. */
+  /** Number of refusals by busy targets for each open request. */
   private readonly _refusals = new Map<string, number>();
   private readonly _dispatches = new Map<string, IDispatch>();
-  private readonly _getLifetime = (targetId: string): number => this._lifetime.get(targetId);
+  private readonly _getLifetime = (targetId: string): number => this._lifetimes.get(targetId);
 
   constructor(options: IDefaultPolicyOptions) {
     super();
@@ -116,7 +116,7 @@
     targets: readonly ITargetView[],
     now: number,
   ): IRouteDecision {
-    this._table.refresh(targets);
+    this._targetTable.refresh(targets);
     const scored = this._scoreAll(request, targets, now);
     if (scored.length === 0) {
       return this._chooseFallback(request, targets, now);
@@ -129,7 +129,7 @@
       estimatedTtftMs: best.ttftMs,
       maxTtftMs:
         (this._refusals.get(request.requestId) ?? 0) < MAX_REFUSALS
-          ? computeLimit(best, scored)
+          ? computeMaxTtft(best, scored)
           : Infinity,
       reason: best.reason,
       candidates: listCandidates(scored),
@@ -139,12 +139,12 @@
   public override onDispatched(request: IRouteRequest, target: ITargetView, now: number): void {
     this._index.reconcile(target);
     const ages = this._index.listAges(target, request.chain, now);
-    const lifetime = this._lifetime.get(target.id);
-    const expired = ages.findIndex((age) => age > lifetime);
-    const chunks = expired < 0 ? ages.length : expired;
-    const missedTokens = Math.max(0, request.promptTokens - chunks * CHUNK_TOKENS);
-    const workMs = this._estimator.estimatePrefill(target.id, missedTokens);
-    this.loads.open(request.requestId, target.id, workMs, now);
+    const lifetime = this._lifetimes.get(target.id);
+    const firstExpired = ages.findIndex((age) => age > lifetime);
+    const cachedChunks = firstExpired < 0 ? ages.length : firstExpired;
+    const missedTokens = Math.max(0, request.promptTokens - cachedChunks * CHUNK_TOKENS);
+    const prefillMs = this._estimator.estimatePrefill(target.id, missedTokens);
+    this.loads.open(request.requestId, target.id, prefillMs, now);
     this._heat.record(request.chain, now);
     this._index.record(target, request.chain, request.chain.length, now);
     this._dispatches.set(request.requestId, { request, target, ages });
@@ -159,11 +159,11 @@
     this._dispatches.delete(requestId);
     this._refusals.delete(requestId);
     const { request, target, ages } = dispatch;
-    // The index needs no correction: what was missing is computed and cached by now. The count shows
-    // how long this target keeps unused chunks.
+    // The index needs no correction: missing chunks have been computed and cached by now. The number of
+    // cached tokens shows how long the target keeps unused chunks.
     const missedTokens = Math.max(0, request.promptTokens - answer.cachedPromptTokens);
     this._estimator.observe(target, missedTokens, answer.ttftMs);
-    this._lifetime.observe(target.id, ages, Math.floor(answer.cachedPromptTokens / CHUNK_TOKENS));
+    this._lifetimes.observe(target.id, ages, Math.floor(answer.cachedPromptTokens / CHUNK_TOKENS));
   }
 
   public override onFailed(requestId: string, now: number): void {
@@ -199,7 +199,7 @@
   public override onTargetGone(targetId: string): void {
     this.loads.drop(targetId);
     this._index.dropTarget(targetId);
-    this._lifetime.drop(targetId);
+    this._lifetimes.drop(targetId);
     this._estimator.drop(targetId);
   }
 
@@ -215,21 +215,25 @@
     request: IRouteRequest,
     targets: readonly ITargetView[],
     now: number,
-  ): IScored[] {
-    const chunks = new Map<number, number>();
+  ): IScoredTarget[] {
+    const cachedChunksByPosition = new Map<number, number>();
     for (const match of this._findMatches(request, now)) {
-      const position = this._table.find(match.targetId);
+      const position = this._targetTable.find(match.targetId);
       const target = position === undefined ? undefined : targets[position];
       if (position !== undefined && target !== undefined && this._index.hasEvidence(target)) {
-        chunks.set(position, match.chunks);
+        cachedChunksByPosition.set(position, match.chunks);
       }
     }
     const homes = new Set(this._sampleHomes(request, now));
-    const scored: IScored[] = [];
-    for (const position of new Set([...homes, ...chunks.keys(), ...this._listSpill(targets)])) {
+    const scored: IScoredTarget[] = [];
+    for (const position of new Set([
+      ...homes,
+      ...cachedChunksByPosition.keys(),
+      ...this._listSpillPositions(targets),
+    ])) {
       const target = targets[position];
       if (target !== undefined && isUsable(target)) {
-        const cachedChunks = chunks.get(position) ?? 0;
+        const cachedChunks = cachedChunksByPosition.get(position) ?? 0;
         const reason = homes.has(position) ? 'home' : cachedChunks > 0 ? 'evidence' : 'spill';
         scored.push(this._score(request, target, cachedChunks, reason, now));
       }
@@ -254,9 +258,9 @@
     return matches.sort((a, b) => b.chunks - a.chunks).slice(0, MAX_MATCHES);
   }
 
-  /** Positions of targets that are scored without regard to the prefix. */
-  private _listSpill(targets: readonly ITargetView[]): number[] {
-    if (targets.length <= SMALL_FLEET) {
+  /** Positions of the targets that are scored regardless of the prefix. */
+  private _listSpillPositions(targets: readonly ITargetView[]): number[] {
+    if (targets.length <= MAX_FULLY_SCORED_TARGETS) {
       return [...targets.keys()];
     }
     return Array.from({ length: SAMPLED_TARGETS }, () =>
@@ -270,7 +274,7 @@
     chunks: number,
     reason: RouteReason,
     now: number,
-  ): IScored {
+  ): IScoredTarget {
     this.loads.refresh(target);
     const cachedTokens = chunks * CHUNK_TOKENS;
     const missedTokens = Math.max(0, request.promptTokens - cachedTokens);
@@ -278,17 +282,17 @@
     const waitMs = this.loads.estimateWait(target.id, serviceMs, now);
     const ttftMs = this._estimator.estimateTtft(target, waitMs, missedTokens);
     const prefillMs = this._estimator.estimatePrefill(target.id, missedTokens);
-    const charge = (RECOMPUTE_CHARGE + (reason === 'spill' ? SPILL_CHARGE : 0)) * prefillMs;
-    return { target, reason, cachedTokens, waitMs, ttftMs, cost: ttftMs + charge };
+    const penalty = (RECOMPUTE_PENALTY + (reason === 'spill' ? SPILL_PENALTY : 0)) * prefillMs;
+    return { target, reason, cachedTokens, waitMs, ttftMs, cost: ttftMs + penalty };
   }
 
-  /** Power of two choices among the estimates close to the smallest. */
-  private _pickBest(scored: readonly IScored[]): IScored {
-    const least = scored.reduce((a, b) => (b.cost < a.cost ? b : a));
-    const limit = least.cost + Math.max(NEAR_MS, least.cost * NEAR_SHARE);
-    const near = scored.filter((item) => item.cost <= limit);
-    const first = near[Math.floor(this._random() * near.length)] ?? least;
-    const second = near[Math.floor(this._random() * near.length)] ?? least;
+  /** Power of two choices among the targets whose costs count as equal to the smallest. */
+  private _pickBest(scored: readonly IScoredTarget[]): IScoredTarget {
+    const cheapest = scored.reduce((a, b) => (b.cost < a.cost ? b : a));
+    const limit = cheapest.cost + Math.max(TIE_TOLERANCE_MS, cheapest.cost * TIE_TOLERANCE_SHARE);
+    const tied = scored.filter((item) => item.cost <= limit);
+    const first = tied[Math.floor(this._random() * tied.length)] ?? cheapest;
+    const second = tied[Math.floor(this._random() * tied.length)] ?? cheapest;
     const firstOpen = this.loads.countOpen(first.target.id);
     const secondOpen = this.loads.countOpen(second.target.id);
     if (firstOpen === secondOpen) {
@@ -297,7 +301,7 @@
     return firstOpen < secondOpen ? first : second;
   }
 
-  /** Any usable target, for a large fleet of which every scored target is unusable. */
+  /** Chooses any usable target, for the case that no scored target of a large fleet is usable. */
   private _chooseFallback(
     request: IRouteRequest,
     targets: readonly ITargetView[],
@@ -320,19 +324,19 @@
   }
 }
 
-/** Time to first token beyond which the next best target is the better choice. */
-function computeLimit(best: IScored, scored: readonly IScored[]): number {
+/** Time to first token beyond which the second best target would have been the better choice. */
+function computeMaxTtft(best: IScoredTarget, scored: readonly IScoredTarget[]): number {
   let nextCost = Infinity;
   for (const item of scored) {
     if (item !== best && item.cost < nextCost) {
       nextCost = item.cost;
     }
   }
-  const charge = best.cost - best.ttftMs;
-  return Math.max(best.ttftMs, nextCost - charge) + LIMIT_MARGIN_MS;
+  const penalty = best.cost - best.ttftMs;
+  return Math.max(best.ttftMs, nextCost - penalty) + MAX_TTFT_MARGIN_MS;
 }
 
-function listCandidates(scored: readonly IScored[]): ICandidate[] {
+function listCandidates(scored: readonly IScoredTarget[]): ICandidate[] {
   const best = scored.length <= MAX_LOGGED_CANDIDATES ? scored : sortBest(scored);
   return best.map(({ target, cachedTokens, waitMs, ttftMs }) => ({
     targetId: target.id,
@@ -342,6 +346,6 @@
   }));
 }
 
-function sortBest(scored: readonly IScored[]): IScored[] {
+function sortBest(scored: readonly IScoredTarget[]): IScoredTarget[] {
   return [...scored].sort((a, b) => a.cost - b.cost).slice(0, MAX_LOGGED_CANDIDATES);
 }
--- a/src/policy/Fixtures.ts
+++ b/src/policy/Fixtures.ts
@@ -1,4 +1,4 @@
-/** Values for the tests of the policies. */
+/** Builders of test values for the policies. */
 import type { ILoad, IRouteRequest, ITargetView } from './Types.js';
 
 /** A usable target with the given changes. */
@@ -36,7 +36,7 @@
   return { queued, running: 0, freeBlocks: 10, reportedAt };
 }
 
-/** Chain of made-up hashes below a label. */
+/** Chain of distinct fake hashes; chains with different labels share none. */
 export function createChain(label: string, chunks: number): string[] {
   return Array.from({ length: chunks }, (_, depth) => `${label}/${depth}`);
 }
--- a/src/policy/Learning.test.ts
+++ b/src/policy/Learning.test.ts
@@ -5,7 +5,7 @@
 import { LoadView } from './LoadView.js';
 
 describe('CacheLifetime', () => {
-  it('shrinks after misses of young evidence, so that evicted chunks are not counted on', () => {
+  it('decreases after misses of recent chunks, so that evicted chunks are not expected', () => {
     const lifetime = new CacheLifetime();
     for (let i = 0; i < 50; i += 1) {
       lifetime.observe('t', [100, 3_000], 1);
@@ -14,7 +14,7 @@
     expect(lifetime.get('t')).toBeGreaterThan(500);
   });
 
-  it('grows after hits of old evidence, so that long-lived chunks are not given up', () => {
+  it('increases after hits of old chunks, so that chunks are used for as long as they are cached', () => {
     const lifetime = new CacheLifetime();
     for (let i = 0; i < 50; i += 1) {
       lifetime.observe('t', [30_000], 1);
@@ -24,7 +24,7 @@
 });
 
 describe('Estimator', () => {
-  it('learns the speed of each target, so that a slow one is not taken for an average one', () => {
+  it('learns the speed of each target separately, so that slow targets are recognised', () => {
     const estimator = new Estimator('dc-0');
     const slow = createTarget('slow');
     const fast = createTarget('fast');
@@ -36,7 +36,7 @@
     expect(estimator.estimatePrefill('fast', 10_000)).toBeLessThan(600);
   });
 
-  it('gives waiting little weight, so that a busy target is not taken for a slow one', () => {
+  it('gives slow samples little weight, so that queueing does not make a target appear slow', () => {
     const estimator = new Estimator('dc-0');
     const target = createTarget('t');
     for (let i = 0; i < 300; i += 1) {
@@ -47,7 +47,7 @@
 });
 
 describe('LoadView', () => {
-  it('does not count own waiting dispatches twice when a report includes them', () => {
+  it('does not count waiting dispatches of this process twice if a report includes them', () => {
     const view = new LoadView();
     view.open('r1', 't', 100, 0);
     view.report('t', createLoad(1, 10));
@@ -55,7 +55,7 @@
     expect(view.estimateWait('t', 100, 10)).toBe(90);
   });
 
-  it('counts own dispatches once in the wait that a refusal told, and lets it run down', () => {
+  it('counts dispatches of this process once in the wait stated by a refusal, and reduces it over time', () => {
     const view = new LoadView();
     view.open('r1', 't', 100, 0);
     view.reportWait('t', 300, 0);
@@ -66,20 +66,20 @@
     expect(view.estimateWait('t', 100, 60)).toBe(40);
   });
 
-  it('prefers the wait that a report tells to the number of queued requests', () => {
+  it('prefers a wait stated in a report to the number of queued requests', () => {
     const view = new LoadView();
     view.report('t', { ...createLoad(3, 10), waitMs: 500 });
     expect(view.estimateWait('t', 100, 110)).toBe(400);
   });
 
-  it('ignores a report older than the known one', () => {
+  it('ignores a report older than the last one applied', () => {
     const view = new LoadView();
     view.report('t', createLoad(5, 20));
     view.report('t', createLoad(1, 10));
     expect(view.countAll('t')).toBe(5);
   });
 
-  it('releases a dispatch once, however often it ends', () => {
+  it('removes a dispatch only once if it is closed repeatedly', () => {
     const view = new LoadView();
     view.open('r1', 't', 100, 0);
     view.markFirstToken('r1', 5);
--- a/src/policy/LeastLoad.ts
+++ b/src/policy/LeastLoad.ts
@@ -1,8 +1,11 @@
-/** Baseline: the target with the fewest requests. */
+/** Baseline policy: chooses the target with the fewest requests. */
 import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
 import type { IRandom, IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
-/** Takes the target with the fewest requests, reported and own; ties are drawn. */
+/**
+ * Chooses the target with the fewest requests, counting reported ones and those of this process. Ties are
+ * broken at random.
+ */
 export class LeastLoad extends BasePolicy {
   public readonly name = 'least-load';
   private readonly _random: IRandom;
--- a/src/policy/Policies.test.ts
+++ b/src/policy/Policies.test.ts
@@ -32,7 +32,7 @@
   return decision.target;
 }
 
-/** Sends a request to a target and completes it. */
+/** Dispatches a request to a target and reports a complete answer with the whole chain cached. */
 function serve(
   policy: IRoutingPolicy,
   requestId: string,
@@ -60,7 +60,7 @@
     }
   });
 
-  it('says why there is no target, instead of failing', () => {
+  it('returns the reason if there is no target, instead of throwing', () => {
     const request = createRequest('r', []);
     const draining = [createTarget('t', { draining: true })];
     expect(policy.choose(request, [], 0)).toEqual({ kind: 'none', reason: 'no-target' });
@@ -69,7 +69,7 @@
 });
 
 describe('LeastLoad', () => {
-  it('counts own dispatches since the last report, so that a burst does not hit one target', () => {
+  it('counts dispatches since the last report, so that a burst is spread over the targets', () => {
     const policy: IRoutingPolicy = new LeastLoad(() => 0);
     const targets = [
       createTarget('a', { load: createLoad(0, 1) }),
@@ -87,7 +87,7 @@
 describe('DefaultPolicy', () => {
   const chain = createChain('p', 8);
 
-  it('follows evidence, so that a cached prefix is not computed again elsewhere', () => {
+  it('chooses a holder, so that a cached prefix is not recomputed by another target', () => {
     const policy = createDefault();
     const targets = createTargets(13);
     serve(policy, 'r1', chain, createTarget('t-7'), 0);
@@ -96,7 +96,7 @@
     expect(decision).toMatchObject({ expectedCachedTokens: 16_000 });
   });
 
-  it('does not count on the cache of a dead incarnation or of older weights', () => {
+  it('expects no cached tokens from an earlier incarnation or other weights', () => {
     for (const change of [{ incarnation: 't-7/1' }, { weightsVersion: 'w2' }]) {
       const policy = createDefault();
       serve(policy, 'r1', chain, createTarget('t-7'), 0);
@@ -108,7 +108,7 @@
     }
   });
 
-  it('does not count on chunks that were evicted, reported or missed', () => {
+  it('expects no cached tokens from chunks that were reported as evicted or whose dispatch failed', () => {
     const policy = createDefault();
     const target = createTarget('t-7');
     serve(policy, 'r1', chain, target, 0);
@@ -121,14 +121,14 @@
     expect(later).toMatchObject({ expectedCachedTokens: 0 });
   });
 
-  it('uses what a target reports of the dispatches of other entries', () => {
+  it('uses the cached chunks that a target reports from dispatches of other entries', () => {
     const policy = createDefault();
     policy.onCached(createTarget('t-3'), chain.slice(0, 4), 0);
     const decision = policy.choose(createRequest('r1', chain), createTargets(13), 100);
     expect(decision).toMatchObject({ target: { id: 't-3' }, expectedCachedTokens: 8_000 });
   });
 
-  it('agrees with other entries on the home of a new prefix', () => {
+  it('agrees with other entries on the home target of a new prefix', () => {
     const targets = createTargets(13);
     const homes = [0.1, 0.5, 0.9].map((random) => {
       const decision = createDefault(random).choose(createRequest('r', chain), targets, 0);
@@ -137,7 +137,7 @@
     expect(new Set(homes).size).toBe(1);
   });
 
-  it('gives up a busy holder when waiting costs more than computing', () => {
+  it('avoids a busy holder if waiting takes longer than recomputing the prefix', () => {
     const policy = createDefault();
     serve(policy, 'r1', chain, createTarget('t-7'), 0);
     const targets = createTargets(13).map((target) =>
@@ -147,7 +147,7 @@
     expect(target.id).not.toBe('t-7');
   });
 
-  it('sets no limit on the last try, so that a request is not refused by all targets', () => {
+  it('sets no limit on the third dispatch, so that a request is not refused by all targets', () => {
     const policy = createDefault();
     const targets = createTargets(13);
     serve(policy, 'r1', chain, createTarget('t-7'), 0);
@@ -166,7 +166,7 @@
     expect(new Set(chosen).size).toBe(3);
   });
 
-  it('sends the rest of a burst elsewhere after a refusal, until a newer report', () => {
+  it('sends the remaining requests of a burst to other targets after a refusal, until a newer report', () => {
     const policy = createDefault();
     const targets = createTargets(13);
     const holder = createTarget('t-7');
@@ -180,7 +180,7 @@
     expect(expectTarget(policy.choose(request, reported, 200)).id).toBe('t-7');
   });
 
-  it('bounds the candidates of a decision and weighs only a part of a large fleet', () => {
+  it('limits the candidates of a decision, and scores only a sample of a large fleet', () => {
     const policy = createDefault(0.5);
     const targets = createTargets(5_600);
     const decision = policy.choose(createRequest('r', chain), targets, 0);
--- a/src/policy/PrefixChain.test.ts
+++ b/src/policy/PrefixChain.test.ts
@@ -8,18 +8,18 @@
 }
 
 describe('hashPrefixChain', () => {
-  it('has no hash in common between salts, so that no client account matches another one', () => {
+  it('shares no hash between salts, so that client accounts never match chunks of each other', () => {
     const left = hashPrefixChain(createPrompt(4), 'account-a/w1');
     const right = new Set(hashPrefixChain(createPrompt(4), 'account-b/w1'));
     expect(left.filter((hash) => right.has(hash))).toEqual([]);
   });
 
-  it('leaves out a partial chunk, which an engine would not cache', () => {
+  it('omits an incomplete last chunk, which an engine would not cache', () => {
     expect(hashPrefixChain(createPrompt(2, CHUNK_BYTES - 1), 'salt')).toHaveLength(2);
     expect(hashPrefixChain(createPrompt(0, 10), 'salt')).toEqual([]);
   });
 
-  it('changes all hashes from a changed chunk on, so that a different start never matches', () => {
+  it('changes the hashes of a changed chunk and all later ones, so that only equal prefixes match', () => {
     const prompt = createPrompt(4);
     const original = hashPrefixChain(prompt, 'salt');
     prompt[CHUNK_BYTES] = 255;
--- a/src/policy/PrefixChain.ts
+++ b/src/policy/PrefixChain.ts
@@ -1,25 +1,24 @@
-/** Hash chain over the whole chunks of a prompt. */
+/** Computes the hash chain over the complete chunks of a prompt. */
 import { digestSha256, encodeHex } from '../common/Hashes.js';
 import type { ChainHash } from './Types.js';
 
 /** Engines cache prompts in chunks of about this many tokens. */
 export const CHUNK_TOKENS = 2_000;
 
-/** Estimate for prompts whose token count is unknown. */
+/** Assumed for prompts whose token count is unknown. */
 export const BYTES_PER_TOKEN = 4;
 
-/** Bytes of one chunk. */
 export const CHUNK_BYTES = CHUNK_TOKENS * BYTES_PER_TOKEN;
 
 /** 128 bits make accidental collisions impossible in practice. */
 const HASH_BYTES = 16;
 
-/** Bound of one chain: a prompt of 8 MB, the largest body, has 1,000 chunks. */
+/** Maximum length of a chain: a prompt of 8 MB, the largest body, has 1,000 chunks. */
 const MAX_CHUNKS = 1_000;
 
 /**
- * Hashes the whole chunks of a prompt. The salt differs between client accounts and weights
- * versions, so that their chains have no hash in common.
+ * Hashes the complete chunks of a prompt; each hash also covers all chunks before it. The salt differs
+ * between client accounts and weights versions, so that their chains have no hash in common.
  *
  * @example
  * const chain = hashPrefixChain(Buffer.from(prompt), cacheSalt);
@@ -36,7 +35,7 @@
   return chain;
 }
 
-/** Estimated tokens of a prompt of `bytes` UTF-8 bytes. */
+/** Estimated number of tokens in a prompt of the given number of UTF-8 bytes. */
 export function estimateTokens(bytes: number): number {
   return Math.ceil(bytes / BYTES_PER_TOKEN);
 }
--- a/src/policy/PrefixHash.ts
+++ b/src/policy/PrefixHash.ts
@@ -1,15 +1,15 @@
-/** Baseline: rendezvous hashing by the head of the prefix. */
+/** Baseline policy: rendezvous hashing of the first chunks of a prompt. */
 import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
 import { hashText, TargetTable } from './TargetTable.js';
 import type { IRandom, IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
-/** Number of leading chunks that select the target, if the prompt has as many. */
+/** Number of leading chunks whose hash selects the target; a shorter prompt uses all its chunks. */
 const DEFAULT_HEAD_CHUNKS = 4;
 
-/** Targets ranked at first; all of them are ranked when none of these is usable. */
-const FIRST_RANKS = 3;
+/** Targets ranked first; if none of them is usable, all are ranked. */
+const INITIAL_RANKED_TARGETS = 3;
 
-/** Sends a prefix always to the same target while that is usable, regardless of load. */
+/** Sends the same prefix to the same target while that target is usable, regardless of its load. */
 export class PrefixHash extends BasePolicy {
   public readonly name = 'prefix-hash';
   private readonly _random: IRandom;
@@ -26,7 +26,7 @@
     this._table.refresh(targets);
     const head = request.chain[Math.min(this._headChunks, request.chain.length) - 1];
     const key = head === undefined ? Math.floor(this._random() * 2 ** 32) : hashText(head);
-    for (const count of [FIRST_RANKS, targets.length]) {
+    for (const count of [INITIAL_RANKED_TARGETS, targets.length]) {
       for (const position of this._table.rankAll(key, count)) {
         const target = targets[position];
         if (target !== undefined && isUsable(target)) {
--- a/src/policy/PrefixHeat.ts
+++ b/src/policy/PrefixHeat.ts
@@ -1,11 +1,11 @@
-/** Share of the recent requests that begin with a prefix. */
+/** Counts how many recent requests begin with each prefix. */
 import type { ChainHash } from './Types.js';
 
-/** Time after which a request counts half; hot prefixes shift within tens of seconds. */
+/** Half-life of a request in the counts; hot prefixes change within tens of seconds. */
 const HALF_LIFE_MS = 10_000;
 
-/** Prefixes counted. Those of the oldest requests are dropped beyond it. */
-const MAX_PREFIXES = 20_000;
+/** Number of prefixes with a counter; beyond it the least recently used ones are dropped. */
+const MAX_COUNTED_PREFIXES = 20_000;
 
 interface ICounter {
   value: number;
@@ -16,7 +16,7 @@
   return counter.value * 2 ** (-(now - counter.updatedAt) / HALF_LIFE_MS);
 }
 
-/** Counts requests by prefix, with exponential decay. */
+/** Request counts by prefix, with exponential decay. */
 export class PrefixHeat {
   private readonly _counters = new Map<ChainHash, ICounter>();
   private readonly _total: ICounter = { value: 0, updatedAt: 0 };
@@ -28,12 +28,12 @@
     for (const hash of chain) {
       const counter = this._counters.get(hash);
       const value = counter === undefined ? 1 : computeDecayed(counter, now) + 1;
-      // Inserted anew so that the first key is the one used longest ago.
+      // Reinserted at the end, so that the first key is the least recently used one.
       this._counters.delete(hash);
       this._counters.set(hash, { value, updatedAt: now });
     }
     for (const hash of this._counters.keys()) {
-      if (this._counters.size <= MAX_PREFIXES) {
+      if (this._counters.size <= MAX_COUNTED_PREFIXES) {
         break;
       }
       this._counters.delete(hash);
--- a/src/policy/PrefixIndex.test.ts
+++ b/src/policy/PrefixIndex.test.ts
@@ -6,7 +6,7 @@
 const CHAIN = createChain('p', 4);
 
 describe('PrefixIndex', () => {
-  it('never uses evidence of a dead incarnation or of older weights', () => {
+  it('never uses evidence of an earlier incarnation or of other weights', () => {
     const index = new PrefixIndex();
     const target = createTarget('t');
     index.record(target, CHAIN, 4, 0);
@@ -18,7 +18,7 @@
     expect(index.listAges(target, CHAIN, 3)).toEqual([]);
   });
 
-  it('does not revive old entries when the target is recorded anew', () => {
+  it('does not restore entries of an earlier incarnation when a new one is recorded', () => {
     const index = new PrefixIndex();
     const target = createTarget('t');
     index.record(target, CHAIN, 4, 0);
@@ -26,7 +26,7 @@
     expect(index.match(CHAIN, 2, FOREVER)).toEqual([]);
   });
 
-  it('finds the longest unbroken prefix, so that a gap ends the match', () => {
+  it('ends a match at the first chunk without evidence', () => {
     const index = new PrefixIndex();
     const target = createTarget('t');
     index.record(target, CHAIN, 4, 0);
@@ -34,7 +34,7 @@
     expect(index.match(CHAIN, 1, FOREVER)).toEqual([{ targetId: 't', chunks: 2 }]);
   });
 
-  it('drops old evidence, since engines evict unused chunks within seconds', () => {
+  it('ignores and drops old evidence, since engines evict unused chunks within seconds', () => {
     const index = new PrefixIndex({ maxAgeMs: 1_000 });
     const target = createTarget('t');
     index.record(target, CHAIN, 4, 0);
@@ -44,7 +44,7 @@
     expect(index.size).toBe(1);
   });
 
-  it('stays within its bound and gives up the oldest entries first', () => {
+  it('never exceeds its maximum size and removes the oldest entries first', () => {
     const index = new PrefixIndex({ maxEntries: 10 });
     const target = createTarget('t');
     for (let i = 0; i < 100; i += 1) {
@@ -55,7 +55,7 @@
     expect(index.match(createChain('p0', 2), 100, FOREVER)).toEqual([]);
   });
 
-  it('bounds the holders of one hot chunk, so that a decision does not walk the fleet', () => {
+  it('limits the holders of a hot chunk, so that the cost of a match does not grow with the fleet', () => {
     const index = new PrefixIndex();
     for (let i = 0; i < 500; i += 1) {
       index.record(createTarget(`t-${i}`), CHAIN, 1, i);
--- a/src/policy/PrefixIndex.ts
+++ b/src/policy/PrefixIndex.ts
@@ -1,26 +1,27 @@
-/** Bounded index of evidence that targets hold prefixes in their cache. */
+/** Index of the prompt prefixes that targets are expected to hold in their cache. */
 import type { ChainHash, ITargetView } from './Types.js';
 
-/** Entries of one index: about 20 MB at 335 bytes each, the most that was measured. */
+/** Entries of one index: about 20 MB at up to 335 bytes each. */
 export const DEFAULT_MAX_ENTRIES = 60_000;
 
-/** Evidence older than this is dropped: engines evict unused blocks within seconds. */
+/** Age beyond which evidence is dropped: engines evict unused blocks within seconds. */
 export const DEFAULT_MAX_AGE_MS = 60_000;
 
-/** Holders kept of one hash. More would lengthen the walk without improving a decision. */
+/** Holders kept for one hash. More would slow down matching without improving a decision. */
 const MAX_HOLDERS = 64;
 
-/** One run of one target with one weights version. */
+/** One incarnation of a target with one weights version. */
 interface IHolder {
   readonly targetId: string;
   readonly incarnation: string;
   readonly weightsVersion: string;
-  alive: boolean;
-  /** Scratch values of the walk in progress. */
-  walk: number;
+  isAlive: boolean;
+  /** Call of `match` that last found this holder, and the number of leading chunks that it matched. */
+  matchId: number;
   depth: number;
 }
 
+/** Evidence of one chunk at one holder, linked into a list ordered by `seenAt`. */
 interface IEntry {
   readonly hash: ChainHash;
   readonly holder: IHolder;
@@ -40,19 +41,19 @@
   readonly maxAgeMs: number;
 }
 
-/** Longest time that a target keeps an unused chunk, as far as known. */
+/** Returns the estimated time in milliseconds for which a target keeps an unused chunk. */
 export type IGetLifetime = (targetId: string) => number;
 
 /**
- * Remembers which run of which target was seen with which chunk. The hash of a chunk covers its
- * client account, weights version and all chunks before it.
+ * Bounded index of evidence: which incarnation of which target was seen with which chunk, and when. The hash
+ * of a chunk covers its client account, its weights version and all chunks before it.
  */
 export class PrefixIndex {
   private readonly _limits: IPrefixIndexLimits;
   private readonly _holders = new Map<string, IHolder>();
   private readonly _entries = new Map<ChainHash, IEntry[]>();
   private _size = 0;
-  private _walk = 0;
+  private _matchId = 0;
   private _oldest: IEntry | undefined;
   private _newest: IEntry | undefined;
 
@@ -63,12 +64,12 @@
     };
   }
 
-  /** Number of entries, including those of dead incarnations that were not reached yet. */
+  /** Number of entries, including those of dropped holders that were not removed yet. */
   public get size(): number {
     return this._size;
   }
 
-  /** Records that the target holds the first `chunks` chunks of the chain. */
+  /** Adds evidence that the target holds the first `chunks` chunks of the chain. */
   public record(
     target: ITargetView,
     chain: readonly ChainHash[],
@@ -76,7 +77,7 @@
     now: number,
   ): void {
     const holder = this._ensureHolder(target);
-    // Deepest first: an engine evicts the end of a prefix before its head.
+    // Last chunk first, so that it is pruned first: an engine evicts the end of a prefix before its start.
     for (let i = Math.min(chunks, chain.length) - 1; i >= 0; i -= 1) {
       const hash = chain[i];
       if (hash !== undefined) {
@@ -86,7 +87,7 @@
     this._prune(now);
   }
 
-  /** Forgets the chunks from the given one on. */
+  /** Removes the evidence of the chunks from position `fromChunk` on. */
   public forget(target: ITargetView, chain: readonly ChainHash[], fromChunk = 0): void {
     const holder = this._findHolder(target);
     if (holder === undefined) {
@@ -101,11 +102,11 @@
     }
   }
 
-  /** Forgets everything about a target. The entries are released when they are next reached. */
+  /** Drops all evidence of a target. Its entries are removed later, when they are pruned. */
   public dropTarget(targetId: string): void {
     const holder = this._holders.get(targetId);
     if (holder !== undefined) {
-      holder.alive = false;
+      holder.isAlive = false;
       this._holders.delete(targetId);
     }
   }
@@ -115,20 +116,20 @@
     return this._findHolder(target) !== undefined;
   }
 
-  /** Drops the evidence of a target unless it is of this incarnation and weights version. */
+  /** Drops the evidence of a target if it belongs to another incarnation or weights version. */
   public reconcile(target: ITargetView): void {
     if (this._holders.has(target.id) && this._findHolder(target) === undefined) {
       this.dropTarget(target.id);
     }
   }
 
-  /** Targets with fresh evidence of at least the first chunk. */
+  /** Targets with unexpired evidence of at least the first chunk, in no particular order. */
   public match(
     chain: readonly ChainHash[],
     now: number,
     getLifetime: IGetLifetime,
   ): IPrefixMatch[] {
-    this._walk += 1;
+    this._matchId += 1;
     const found: IHolder[] = [];
     for (let depth = 0; depth < chain.length; depth += 1) {
       if (!this._matchChunk(chain[depth] ?? '', depth, now, getLifetime, found)) {
@@ -138,7 +139,7 @@
     return found.map((holder) => ({ targetId: holder.targetId, chunks: holder.depth }));
   }
 
-  /** Ages of the evidence of one target, one for each chunk up to the first without evidence. */
+  /** Age in milliseconds of a target's evidence of each chunk, up to the first chunk without evidence. */
   public listAges(target: ITargetView, chain: readonly ChainHash[], now: number): number[] {
     const holder = this._findHolder(target);
     const ages: number[] = [];
@@ -162,16 +163,16 @@
     let advanced = false;
     for (const entry of this._entries.get(hash) ?? []) {
       const holder = entry.holder;
-      const reached = depth === 0 || (holder.walk === this._walk && holder.depth === depth);
+      const reached = depth === 0 || (holder.matchId === this._matchId && holder.depth === depth);
       const age = now - entry.seenAt;
-      if (!holder.alive || !reached || age > this._limits.maxAgeMs) {
+      if (!holder.isAlive || !reached || age > this._limits.maxAgeMs) {
         continue;
       }
       if (age > getLifetime(holder.targetId)) {
         continue;
       }
       if (depth === 0) {
-        holder.walk = this._walk;
+        holder.matchId = this._matchId;
         found.push(holder);
       }
       holder.depth = depth + 1;
@@ -188,17 +189,17 @@
   }
 
   private _ensureHolder(target: ITargetView): IHolder {
-    const known = this._findHolder(target);
-    if (known !== undefined) {
-      return known;
+    const existing = this._findHolder(target);
+    if (existing !== undefined) {
+      return existing;
     }
     this.dropTarget(target.id);
     const holder = {
       targetId: target.id,
       incarnation: target.incarnation,
       weightsVersion: target.weightsVersion,
-      alive: true,
-      walk: 0,
+      isAlive: true,
+      matchId: 0,
       depth: 0,
     };
     this._holders.set(target.id, holder);
@@ -210,11 +211,11 @@
   }
 
   private _touch(holder: IHolder, hash: ChainHash, now: number): void {
-    const known = this._findEntry(holder, hash);
-    if (known !== undefined) {
-      known.seenAt = now;
-      this._detach(known);
-      this._append(known);
+    const existing = this._findEntry(holder, hash);
+    if (existing !== undefined) {
+      existing.seenAt = now;
+      this._detach(existing);
+      this._append(existing);
       return;
     }
     const siblings = this._entries.get(hash) ?? [];
@@ -231,7 +232,7 @@
   private _prune(now: number): void {
     while (this._oldest !== undefined) {
       const entry = this._oldest;
-      const isStale = !entry.holder.alive || now - entry.seenAt > this._limits.maxAgeMs;
+      const isStale = !entry.holder.isAlive || now - entry.seenAt > this._limits.maxAgeMs;
       if (!isStale && this._size <= this._limits.maxEntries) {
         return;
       }
--- a/src/policy/RoundRobin.ts
+++ b/src/policy/RoundRobin.ts
@@ -1,23 +1,23 @@
-/** Baseline: targets in turn. */
+/** Baseline policy: round robin. */
 import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
 import type { IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
-/** Takes the usable targets in turn, regardless of load and cache. */
+/** Chooses the usable targets in turn, regardless of load and cache. */
 export class RoundRobin extends BasePolicy {
   public readonly name = 'round-robin';
-  private _next: number;
+  private _nextPosition: number;
 
-  /** @param start position of the first target, so that entries don't run in step */
+  /** @param start position of the first target; differs between entries so that they do not send in step */
   constructor(start = 0) {
     super();
-    this._next = start;
+    this._nextPosition = start;
   }
 
   public choose(_request: IRouteRequest, targets: readonly ITargetView[]): IRouteDecision {
     for (const [skipped] of targets.entries()) {
-      const target = targets[(this._next + skipped) % targets.length];
+      const target = targets[(this._nextPosition + skipped) % targets.length];
       if (target !== undefined && isUsable(target)) {
-        this._next = (this._next + skipped + 1) % targets.length;
+        this._nextPosition = (this._nextPosition + skipped + 1) % targets.length;
         return this.decide(target, 'rotation');
       }
     }
--- a/src/policy/TargetTable.ts
+++ b/src/policy/TargetTable.ts
@@ -1,7 +1,7 @@
-/** Fixed numbers of the targets, kept while the list of targets stays the same. */
+/** Rendezvous hashing over a list of targets, and the hash functions that it uses. */
 import type { ITargetView } from './Types.js';
 
-/** Mixes 32 bits so that each input bit affects each output bit. */
+/** Hashes a 32-bit integer so that each input bit affects each output bit. */
 export function hashBits(value: number): number {
   let mixed = value ^ (value >>> 16);
   mixed = Math.imul(mixed, 0x7feb352d);
@@ -10,7 +10,7 @@
   return (mixed ^ (mixed >>> 16)) >>> 0;
 }
 
-/** 32-bit FNV-1a hash of a text. */
+/** 32-bit FNV-1a hash of a text, mixed by `hashBits`. */
 export function hashText(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i += 1) {
@@ -20,32 +20,32 @@
 }
 
 /**
- * Rendezvous hashing over the list of targets. The codes of the targets are computed only when the
- * list changes; checking for a change is one pass of pointer comparisons.
+ * Ranks the targets of a list by rendezvous hashing. The hashes of the target ids are computed only when the
+ * list changes; the check for a change is one pass of pointer comparisons.
  */
 export class TargetTable {
   private _ids: string[] = [];
-  private _codes = new Uint32Array(0);
+  private _hashes = new Uint32Array(0);
   private _positions = new Map<string, number>();
-  /** Changes with the list. */
+  /** Incremented whenever the list changes. */
   public version = 0;
 
   public get count(): number {
     return this._ids.length;
   }
 
-  /** Takes over the list of targets. */
+  /** Replaces the list of targets if it has changed. */
   public refresh(targets: readonly ITargetView[]): void {
     if (this._isSame(targets)) {
       return;
     }
     this._ids = targets.map((target) => target.id);
-    this._codes = Uint32Array.from(this._ids, hashText);
+    this._hashes = Uint32Array.from(this._ids, hashText);
     this._positions = new Map(this._ids.map((id, position) => [id, position]));
     this.version += 1;
   }
 
-  /** Position of a target in the list. */
+  /** Position of a target in the list; undefined if it is not in the list. */
   public find(targetId: string): number | undefined {
     return this._positions.get(targetId);
   }
@@ -54,9 +54,9 @@
   public rankAll(key: number, count: number): number[] {
     const best: number[] = [];
     const scores: number[] = [];
-    const codes = this._codes;
-    for (let position = 0; position < codes.length; position += 1) {
-      const score = hashBits((codes[position] ?? 0) ^ key);
+    const hashes = this._hashes;
+    for (let position = 0; position < hashes.length; position += 1) {
+      const score = hashBits((hashes[position] ?? 0) ^ key);
       if (best.length < count || score > (scores[scores.length - 1] ?? 0)) {
         insertRanked(best, scores, position, score, count);
       }
@@ -69,7 +69,7 @@
     const best: number[] = [];
     const scores: number[] = [];
     for (const position of positions) {
-      const score = hashBits((this._codes[position] ?? 0) ^ key);
+      const score = hashBits((this._hashes[position] ?? 0) ^ key);
       if (best.length < count || score > (scores[scores.length - 1] ?? 0)) {
         insertRanked(best, scores, position, score, count);
       }
@@ -90,6 +90,7 @@
   }
 }
 
+/** Inserts a position in order of descending score and keeps at most `count` of them. */
 function insertRanked(
   best: number[],
   scores: number[],
--- a/src/policy/Types.ts
+++ b/src/policy/Types.ts
@@ -1,18 +1,18 @@
-/** Interfaces of the routing policies. Times are milliseconds of the process's monotonic clock. */
+/** Interfaces of the routing policies. Times are in milliseconds of the monotonic clock of the process. */
 
-/** Hash of a prefix that ends at a chunk boundary: 16 bytes in hexadecimal form. */
+/** Hash of a prefix that ends at a chunk boundary: 16 bytes in hexadecimal notation. */
 export type ChainHash = string;
 
-/** Returns a number in [0, 1). Injected so that decisions can be repeated in tests. */
+/** Returns a random number in [0, 1). Injected so that decisions are reproducible in tests. */
 export type IRandom = () => number;
 
-/** One request as the policy sees it. */
+/** Properties of a request on which a policy decides. */
 export interface IRouteRequest {
   readonly requestId: string;
   readonly clientAccount: string;
   readonly service: string;
   readonly model: string;
-  /** Hashes of the whole chunks of the prompt, from the first chunk on. */
+  /** Hashes of the complete chunks of the prompt, from the first chunk on. */
   readonly chain: readonly ChainHash[];
   readonly promptTokens: number;
   /** Higher values are served first within one client account. */
@@ -20,24 +20,24 @@
   readonly deadlineMs: number;
 }
 
-/** Load that a target reported. */
+/** Load reported by a target. */
 export interface ILoad {
-  /** Requests whose prompt is not computed yet. */
+  /** Number of requests whose prompt is not computed yet. */
   readonly queued: number;
-  /** Requests that generate output. */
+  /** Number of requests that generate output. */
   readonly running: number;
   readonly freeBlocks: number;
-  /** Expected wait for the queued prompts, if the target tells it. */
+  /** Expected wait for the queued prompts; undefined if the target does not report it. */
   readonly waitMs?: number;
-  /** When the report arrived, by the clock of this process. */
+  /** When the report arrived, on the clock of this process. */
   readonly reportedAt: number;
 }
 
-/** A target as the roster knows it. */
+/** State of a target in the roster. */
 export interface ITargetView {
   readonly id: string;
   readonly dataCentre: string;
-  /** Identifies one run of the engine; a restarted engine has an empty cache. */
+  /** Identifies one run of the engine, which starts with an empty cache. */
   readonly incarnation: string;
   readonly weightsVersion: string;
   readonly load: ILoad | undefined;
@@ -45,10 +45,13 @@
   readonly healthy: boolean;
 }
 
-/** Why a target was chosen. */
+/**
+ * Why a target was chosen: in turn, with the fewest requests, as a home target of the prefix, on evidence that
+ * it holds the prefix, or as neither of the last two.
+ */
 export type RouteReason = 'rotation' | 'least-load' | 'home' | 'evidence' | 'spill';
 
-/** One weighed target, for the decision log. */
+/** Estimates for one scored target, for the decision log. */
 export interface ICandidate {
   readonly targetId: string;
   readonly cachedTokens: number;
@@ -62,8 +65,8 @@
   readonly expectedCachedTokens: number;
   readonly estimatedTtftMs: number;
   /**
-   * The target is to refuse the dispatch unrun when it expects a longer time to first token,
-   * because another target is then the better choice. Infinity without an alternative.
+   * If the target expects a longer time to first token, it refuses the dispatch without running it, because
+   * another target is then the better choice. Infinity if there is no alternative.
    */
   readonly maxTtftMs: number;
   readonly reason: RouteReason;
@@ -78,39 +81,41 @@
 
 export type IRouteDecision = ITargetDecision | INoDecision;
 
-/** Bound of the candidates in one decision, so that a log line stays short. */
+/** Maximum number of candidates in one decision; keeps the log lines short. */
 export const MAX_LOGGED_CANDIDATES = 8;
 
-/** What a complete response told about its target. */
+/** Observations from a complete response. */
 export interface IAnswer {
-  /** Prompt tokens that the engine took from its cache. */
+  /** Prompt tokens that the engine had cached. */
   readonly cachedPromptTokens: number;
   readonly ttftMs: number;
   readonly load: ILoad | undefined;
 }
 
-/** What a target told when it refused a dispatch that would take longer than `maxTtftMs`. */
+/** Report of a target that refused a dispatch because it would take longer than `maxTtftMs`. */
 export interface IBusyReceipt {
-  /** Expected wait for the prompts queued before it. */
+  /** Expected wait for the prompts queued ahead of the dispatch. */
   readonly waitMs: number;
-  /** Prompt tokens that the target would have taken from its cache. */
+  /** Prompt tokens that the target has cached. */
   readonly cachedPromptTokens: number;
 }
 
-/** Chooses targets and learns from what happens to the requests. */
+/** Chooses the target of each request, and learns from the outcomes of dispatches and reports of targets. */
 export interface IRoutingPolicy {
   readonly name: string;
+  /** Chooses a target among the given ones; draining and unhealthy ones are never chosen. */
   choose(request: IRouteRequest, targets: readonly ITargetView[], now: number): IRouteDecision;
   onDispatched(request: IRouteRequest, target: ITargetView, now: number): void;
-  /** The first token arrived, so the prompt is computed. */
+  /** The first token arrived, so that the prompt is computed. */
   onFirstToken(requestId: string, now: number): void;
   onAnswered(requestId: string, answer: IAnswer, now: number): void;
   /** The dispatch ended without a complete response. */
   onFailed(requestId: string, now: number): void;
-  /** The target refused the dispatch unrun; the request may be sent elsewhere. */
+  /** The target refused the dispatch without running it; the request may be sent to another target. */
   onBusy(requestId: string, receipt: IBusyReceipt, now: number): void;
+  /** The target reported that it evicted these chunks. */
   onEvicted(target: ITargetView, hashes: readonly ChainHash[]): void;
-  /** The target reported that these chunks, which may be of any chain, were just used. */
+  /** The target reported that these chunks, which may belong to different chains, were just used. */
   onCached(target: ITargetView, hashes: readonly ChainHash[], now: number): void;
   onTargetGone(targetId: string): void;
 }
