--- a/src/gateway/CallRunner.ts
+++ b/src/gateway/CallRunner.ts
@@ -89,7 +89,7 @@
   readonly table: RouteTable;
   readonly route: IRoute;
   readonly service: IService;
-  /** Client account that pays for the call; undefined on a public route. */
+  /** Client account that is charged for the call; undefined if none is. */
   readonly account: IClientAccount | undefined;
   /** Quota tokens charged for the call. */
   readonly tokens: number;
@@ -410,7 +410,7 @@
     if (call.signal.aborted || admitted.deadlineAt - now < MIN_ATTEMPT_MS) {
       return false;
     }
-    // Only an event stream can be resumed. Parts of two other responses must never be concatenated.
+    // Only an event stream can be resumed. Parts of other responses must never be concatenated.
     if (sink.isStarted && route.kind !== 'streaming') {
       return false;
     }
@@ -466,7 +466,7 @@
     }
   }
 
-  /** Ends a call that has no response and for which no further target is tried. */
+  /** Ends a call that has no complete response and for which no further target is tried. */
   private _finishUnanswered(
     call: T,
     sink: IAnswerSink,
--- a/src/gateway/PromptHolders.ts
+++ b/src/gateway/PromptHolders.ts
@@ -25,7 +25,7 @@
 /** Time after which a new home target is expected to hold its subjects: about the interval of their requests. */
 const HOME_WARM_UP_MS = 8_000;
 
-/** Time after which a former home target has evicted a subject; its memory holds 9 s of prompts. */
+/** Time without use after which a former home target has evicted a subject; its memory holds 9 s of prompts. */
 const CACHE_RETENTION_MS = 8_000;
 
 /** Smaller parts take an engine less than 9 ms to compute; each reported reading costs every entry 30 bytes. */
