--- a/src/gateway/Overload.ts
+++ b/src/gateway/Overload.ts
@@ -17,9 +17,9 @@
  */
 const MAX_WAIT_FACTOR = 0.4;
 
-/** Bounds of the Retry-After of a refusal. */
-const MIN_RETRY_AFTER_MS = 150;
-const MAX_RETRY_AFTER_MS = 1_500;
+/** Bounds of the Retry-After of a request refused because of overload. */
+const MIN_OVERLOAD_RETRY_AFTER_MS = 150;
+const MAX_OVERLOAD_RETRY_AFTER_MS = 1_500;
 
 export type OverloadDecision =
   { readonly kind: 'serve' } | { readonly kind: 'refuse'; readonly retryAfterMs: number };
@@ -51,6 +51,9 @@
   const backlogMs = expectedMs - objectiveMs;
   return {
     kind: 'refuse',
-    retryAfterMs: Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, backlogMs)),
+    retryAfterMs: Math.min(
+      MAX_OVERLOAD_RETRY_AFTER_MS,
+      Math.max(MIN_OVERLOAD_RETRY_AFTER_MS, backlogMs),
+    ),
   };
 }
