--- a/src/fleet/ConfigurationCheck.test.ts
+++ b/src/fleet/ConfigurationCheck.test.ts
@@ -1,4 +1,4 @@
-/** Guards against configurations in force that contradict themselves. */
+/** Guards against putting a configuration in force that contradicts itself. */
 import { describe, expect, it } from 'vitest';
 import { checkConfiguration } from './ConfigurationCheck.js';
 import { buildAccount, buildConfiguration, buildRoute } from './Fixtures.js';
@@ -19,12 +19,12 @@
     expect(checkConfiguration(configuration)).toMatch(message);
   });
 
-  it('refuses two routes at the same place', () => {
+  it('refuses two routes with the same host and prefix', () => {
     const routes = [buildRoute({ name: 'a' }), buildRoute({ name: 'b' })];
     expect(checkConfiguration(buildConfiguration({ routes }))).toMatch(/same host and prefix/);
   });
 
-  it('refuses a key of two client accounts', () => {
+  it('refuses a key that two client accounts share', () => {
     const clientAccounts = [
       buildAccount({ name: 'pag', keys: ['k1'] }),
       buildAccount({ name: 'hvar', keys: ['k2', 'k1'] }),
--- a/src/fleet/ConfigurationCheck.ts
+++ b/src/fleet/ConfigurationCheck.ts
@@ -1,8 +1,8 @@
-/** Rules that a configuration must keep beyond its form. */
+/** Checks a configuration for rules that its schema can't express. */
 import type { IClientAccount, IFleetConfiguration, IRoute } from './Types.js';
 
 /**
- * Describes the first rule that a configuration breaks; undefined if it is valid.
+ * Describes the first rule that the configuration breaks; undefined if it is valid.
  *
  * @example
  * const fault = checkConfiguration(configuration);
@@ -23,25 +23,25 @@
   routes: readonly IRoute[],
   services: ReadonlySet<string>,
 ): string | undefined {
-  const places = new Set<string>();
+  const routeKeys = new Set<string>();
   for (const route of routes) {
     const fault = checkRoute(route, services);
     if (fault !== undefined) {
       return `route ${JSON.stringify(route.name)}: ${fault}`;
     }
-    const place = `${route.host} ${route.pathPrefix}`;
-    if (places.has(place)) {
+    const routeKey = `${route.host} ${route.pathPrefix}`;
+    if (routeKeys.has(routeKey)) {
       return `route ${JSON.stringify(route.name)}: another route has the same host and prefix`;
     }
-    places.add(place);
+    routeKeys.add(routeKey);
   }
   return undefined;
 }
 
 function checkRoute(route: IRoute, services: ReadonlySet<string>): string | undefined {
-  const unknown = route.shares.find((share) => !services.has(share.service));
-  if (unknown !== undefined) {
-    return `service ${JSON.stringify(unknown.service)} does not exist`;
+  const unknownShare = route.shares.find((share) => !services.has(share.service));
+  if (unknownShare !== undefined) {
+    return `service ${JSON.stringify(unknownShare.service)} does not exist`;
   }
   if (route.shares.some((share) => !(share.weight >= 0))) {
     return 'a weight is not a number of 0 or more';
--- a/src/fleet/Fixtures.ts
+++ b/src/fleet/Fixtures.ts
@@ -1,4 +1,4 @@
-/** Valid values for tests. */
+/** Builders of valid values for tests; `changes` override single fields. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import {
   TargetPhase,
--- a/src/fleet/FleetHub.test.ts
+++ b/src/fleet/FleetHub.test.ts
@@ -1,4 +1,4 @@
-/** Guards against targets that are believed ready though they are gone, and the reverse. */
+/** Guards against targets that count as ready though they are gone, and the reverse. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import { SILENT_LOG } from '../common/Log.js';
@@ -12,12 +12,12 @@
 import { FleetHub } from './FleetHub.js';
 
 const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
-const ANNOUNCE_MS = 1_200;
+const ANNOUNCE_INTERVAL_MS = 1_200;
 
 function createHub(): FleetHub {
   return new FleetHub(
     'e1',
-    { announceMs: ANNOUNCE_MS, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
+    { announceMs: ANNOUNCE_INTERVAL_MS, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
     0,
   );
 }
@@ -31,14 +31,14 @@
 }
 
 describe('FleetHub', () => {
-  it('ignores announcements that were overtaken', () => {
+  it('ignores an announcement that arrives after a later one', () => {
     const hub = createHub();
     hub.announce(buildTarget({ sequence: 5n, phase: TargetPhase.DRAINING }), 0);
     expect(hub.announce(buildTarget({ sequence: 4n }), 10)).toBe(false);
     expect(getTarget(hub)?.phase).toBe(TargetPhase.DRAINING);
   });
 
-  it('keeps a target gone until it starts anew under its id', () => {
+  it('keeps a target gone until it restarts under the same id', () => {
     const hub = createHub();
     hub.announce(buildTarget({ phase: TargetPhase.GONE, sequence: 5n }), 0);
     hub.announce(buildTarget({ sequence: 9n }), 10);
@@ -47,25 +47,25 @@
     expect(getTarget(hub)?.phase).toBe(TargetPhase.READY);
   });
 
-  it('gives an address to the target that started last there', () => {
+  it('assigns an address to the target that started last at it', () => {
     const hub = createHub();
     hub.announce(buildTarget({ id: 'i-new', born: 2_000 }), 0);
-    // Announced before its crash, held up on the way.
+    // Sent before the crash of the old target and delayed in transit.
     hub.announce(buildTarget({ id: 'i-old', born: 1_000, sequence: 99n }), 10);
     expect(getTarget(hub, 'i-old')?.phase).toBe(TargetPhase.GONE);
     expect(getTarget(hub, 'i-new')?.phase).toBe(TargetPhase.READY);
   });
 
-  it('marks a target as silent, and as heard of again', () => {
+  it('marks a target as silent, and as not silent once it announces itself again', () => {
     const hub = createHub();
     hub.announce(buildTarget(), 0);
-    hub.takeReport(buildReport({}), 4 * ANNOUNCE_MS);
+    hub.applyReport(buildReport({}), 4 * ANNOUNCE_INTERVAL_MS);
     expect(getTarget(hub)?.silent).toBe(true);
-    hub.announce(buildTarget({ sequence: 2n }), 4 * ANNOUNCE_MS + 10);
+    hub.announce(buildTarget({ sequence: 2n }), 4 * ANNOUNCE_INTERVAL_MS + 10);
     expect(getTarget(hub)?.silent).toBe(false);
   });
 
-  it('keeps the marks of a load over announcements, but not over a restart of the target', () => {
+  it('keeps the load state across announcements, but not across a restart of the target', () => {
     const hub = createHub();
     hub.announce(buildTarget(), 0);
     hub.setLoadState('i-1', 'loading');
@@ -75,35 +75,38 @@
     expect(getTarget(hub)?.loading).toBe(false);
   });
 
-  it('tells a process what changed since its revision, and all to one of another epoch', () => {
+  it('returns the targets changed since a revision, and all to a process of another epoch', () => {
     const hub = createHub();
     hub.announce(buildTarget({ id: 'i-1' }), 0);
-    const { revision } = hub.listNews('', 0);
+    const { revision } = hub.listTargetsSince('', 0);
     hub.announce(buildTarget({ id: 'i-2', address: '10.1.0.2:8000' }), 10);
-    expect(hub.listNews('e1', revision).targets.map(({ id }) => id)).toEqual(['i-2']);
-    expect(hub.listNews('e0', revision).targets.map(({ id }) => id)).toEqual(['i-1', 'i-2']);
+    expect(hub.listTargetsSince('e1', revision).targets.map(({ id }) => id)).toEqual(['i-2']);
+    expect(hub.listTargetsSince('e0', revision).targets.map(({ id }) => id)).toEqual([
+      'i-1',
+      'i-2',
+    ]);
   });
 
-  it('adds up the work of all processes but the one that asks', () => {
+  it('sums the work of all processes except the requesting one', () => {
     const hub = createHub();
     const work = [{ id: 'i-1', open: 2, pendingTokens: 100, longStreams: 1 }];
-    hub.takeReport(buildReport({ node: 'n1', work }), 0);
-    hub.takeReport(buildReport({ node: 'n2', work }), 0);
-    hub.takeReport(buildReport({ node: 'n3', work }), 0);
-    expect(hub.sumWork('n1')).toMatchObject([{ id: 'i-1', open: 4, pendingTokens: 200 }]);
+    hub.applyReport(buildReport({ node: 'n1', work }), 0);
+    hub.applyReport(buildReport({ node: 'n2', work }), 0);
+    hub.applyReport(buildReport({ node: 'n3', work }), 0);
+    expect(hub.sumWorkOfOthers('n1')).toMatchObject([{ id: 'i-1', open: 4, pendingTokens: 200 }]);
     expect(hub.countLongStreams('i-1')).toBe(3);
   });
 
-  it('restart of an entry: what it spent before counts for a window', () => {
+  it('counts what an entry spent before its restart for one more window', () => {
     const hub = createHub();
     hub.setLimits(new Map([['pag', 1_000]]));
-    // A new hub hands out only shares until it has heard of all entries.
-    const askAs = (incarnation: string, now: number): number => {
+    // A new hub grants only a share of the limit until all entries have reported.
+    const requestAs = (incarnation: string, now: number): number => {
       const quotas = [{ clientAccount: 'pag', held: 0, wanted: 1_000, spent: 0 }];
       return hub.grantQuotas({ node: 'entry', incarnation, quotas }, now)[0]?.tokens ?? 0;
     };
     const granted = ['a', 'b', 'c', 'd'].map((incarnation, i) =>
-      askAs(incarnation, 100_000 + i * 1_000),
+      requestAs(incarnation, 100_000 + i * 1_000),
     );
     expect(granted[0]).toBeGreaterThan(0);
     expect(granted.reduce((sum, tokens) => sum + tokens, 0)).toBeLessThanOrEqual(1_000);
--- a/src/fleet/FleetHub.ts
+++ b/src/fleet/FleetHub.ts
@@ -1,4 +1,4 @@
-/** Soft state of the leader: announced targets, everybody's work, quota pools. */
+/** Soft state of the leader: announced targets, the work of all processes, quota pools. */
 import { create } from '@bufbuild/protobuf';
 import type { ILog } from '../common/Log.js';
 import {
@@ -14,40 +14,43 @@
 } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { QuotaPool } from './QuotaPool.js';
 import type { IQuotaTerms } from './QuotaRule.js';
-import { ReadingBoard, type IBoardNews } from './ReadingBoard.js';
-import { hasNews, isLater } from './TargetOrder.js';
+import { RecentReadings, type IReadingDelta } from './RecentReadings.js';
+import { needsPropagation, isLater } from './TargetOrder.js';
 
-/** Reports of a process that has been silent for this long no longer count. */
-const PROCESS_KEPT_MS = 2_000;
+/** A process's report expires if no other one follows within this time. */
+const PROCESS_REPORT_TTL_MS = 2_000;
 
-/** A target that is gone or silent for this long is forgotten; late announcements of it are older. */
-const RECORD_KEPT_MS = 60_000;
+/**
+ * A target whose last announcement is older than this is removed. Delayed announcements arrive before that
+ * and are recognised as older, so that none brings a removed target back.
+ */
+const TARGET_RECORD_TTL_MS = 60_000;
 
-/** Announcements that a target may miss before it counts as silent. */
-const MISSED_ANNOUNCEMENTS = 3.5;
+/** Announcement intervals without an announcement after which a target counts as silent. */
+const MAX_MISSED_ANNOUNCEMENTS = 3.5;
 
-interface IHubRecord {
+interface IHubTarget {
   record: TargetRecord;
   seenAt: number;
   revision: number;
 }
 
 interface IProcessReport {
-  at: number;
+  receivedAt: number;
   readonly takesRequests: boolean;
   readonly work: readonly TargetWork[];
 }
 
-/** Part of an answer that depends on what the process knows already. */
-export interface IHubNews {
+/** Targets that changed since the revision that a process already has. */
+export interface ITargetDelta {
   readonly revision: number;
   readonly targets: readonly TargetRecord[];
 }
 
-/** Progress of a target with new weights. */
+/** Stage of a target's load of new weights: getting ready for it, loading, or neither. */
 export type LoadState = 'none' | 'preparing' | 'loading';
 
-/** The part of a report that concerns quotas. */
+/** Quota reports of one process. */
 export interface IQuotaRequest {
   readonly node: string;
   readonly incarnation: string;
@@ -55,21 +58,24 @@
 }
 
 export interface IHubOptions {
-  /** Time between two announcements of a target in milliseconds. */
+  /** Interval in milliseconds at which a target announces itself. */
   readonly announceMs: number;
   readonly quota: IQuotaTerms;
-  /** Start of this process, on its monotonic clock. */
+  /** Start of this process in milliseconds of its monotonic clock. */
   readonly processStartedAt: number;
   readonly log: ILog;
 }
 
-/** Exists on the process that leads, for one term. */
+/**
+ * Collects the announcements and reports of all processes, and answers each with what the others reported.
+ * Exists on the leader only, for one term; nothing of it is persisted.
+ */
 export class FleetHub {
-  private readonly _records = new Map<string, IHubRecord>();
+  private readonly _targets = new Map<string, IHubTarget>();
   private readonly _processes = new Map<string, IProcessReport>();
   private readonly _pools = new Map<string, QuotaPool>();
-  private readonly _readings = new ReadingBoard();
-  private _limits: ReadonlyMap<string, number> = new Map();
+  private readonly _recentReadings = new RecentReadings();
+  private _windowLimits: ReadonlyMap<string, number> = new Map();
   private _revision = 0;
 
   constructor(
@@ -78,110 +84,116 @@
     private readonly _startedAt: number,
   ) {}
 
-  /** Most tokens of each client account within the window; accounts without limit are left out. */
+  /** Sets the most tokens of each client account within the window; accounts without a limit are absent. */
   public setLimits(limits: ReadonlyMap<string, number>): void {
     for (const [clientAccount, limit] of limits) {
-      if (this._limits.get(clientAccount) !== limit) {
+      if (this._windowLimits.get(clientAccount) !== limit) {
         this._options.log.info('quota limit', { clientAccount, limit: Math.round(limit) });
       }
     }
-    this._limits = limits;
+    this._windowLimits = limits;
     for (const [account, pool] of this._pools) {
-      const changed = limits.get(account);
-      if (changed === undefined) {
+      const limit = limits.get(account);
+      if (limit === undefined) {
         this._pools.delete(account);
       } else {
-        pool.setLimit(changed);
+        pool.setLimit(limit);
       }
     }
   }
 
-  /** Takes an announcement; true if it is the latest of its target. */
+  /** Stores an announcement; false if a later one of the same target is known already. */
   public announce(record: TargetRecord, now: number): boolean {
-    const known = this._records.get(record.id);
+    const existing = this._targets.get(record.id);
     const seenAt = now - record.ageMs;
-    if (known === undefined) {
+    if (existing === undefined) {
       this._store(record, seenAt);
-    } else if (isLater(record, known.record)) {
-      const isSameStart = record.born === known.record.born;
-      record.loading = isSameStart && known.record.loading;
-      record.preparing = isSameStart && known.record.preparing;
-      if (known.record.silent || hasNews(record, known.record)) {
+    } else if (isLater(record, existing.record)) {
+      const isSameIncarnation = record.born === existing.record.born;
+      record.loading = isSameIncarnation && existing.record.loading;
+      record.preparing = isSameIncarnation && existing.record.preparing;
+      if (existing.record.silent || needsPropagation(record, existing.record)) {
         this._store(record, seenAt);
       } else {
-        known.record = record;
-        known.seenAt = Math.max(known.seenAt, seenAt);
+        existing.record = record;
+        existing.seenAt = Math.max(existing.seenAt, seenAt);
       }
     } else {
       return false;
     }
-    this._endOthersAt(record);
+    this._resolveAddressConflicts(record);
     return true;
   }
 
-  /** Takes a process's report. */
-  public takeReport(request: ExchangeRequest, now: number): void {
+  /** Stores the announcements, work and readings that a process reported, and expires old entries. */
+  public applyReport(request: ExchangeRequest, now: number): void {
     for (const record of request.announced) {
       this.announce(record, now);
     }
     this._processes.set(request.node, {
-      at: now,
+      receivedAt: now,
       takesRequests: request.takesRequests,
       work: request.work,
     });
-    this._readings.take(request.node, request.readings);
+    this._recentReadings.add(request.node, request.readings);
     this._expire(now);
   }
 
-  /** Readings of other processes since a revision of this hub. */
-  public listReadings(node: string, epoch: string, revision: number): IBoardNews {
-    return this._readings.listNews(node, epoch === this.epoch ? revision : 0);
+  /** Readings that other processes reported after a revision; all if `epoch` is not this hub's. */
+  public listReadings(node: string, epoch: string, revision: number): IReadingDelta {
+    return this._recentReadings.listSince(node, epoch === this.epoch ? revision : 0);
   }
 
-  /** Targets that changed since a revision of this hub, or all for a process of another epoch. */
-  public listNews(epoch: string, revision: number): IHubNews {
-    const isFull = epoch !== this.epoch;
-    const changed = [...this._records.values()].filter(
-      (entry) => isFull || entry.revision > revision,
+  /** Targets that changed after a revision; all if `epoch` is not this hub's. */
+  public listTargetsSince(epoch: string, revision: number): ITargetDelta {
+    const isFullList = epoch !== this.epoch;
+    const changed = [...this._targets.values()].filter(
+      (entry) => isFullList || entry.revision > revision,
     );
     return { revision: this._revision, targets: changed.map((entry) => entry.record) };
   }
 
-  /** Latest announcements, for the leader's own decisions. */
+  /** The latest record of each target, for decisions of the leader itself. */
   public listTargets(): readonly TargetRecord[] {
-    return [...this._records.values()].map((entry) => entry.record);
+    return [...this._targets.values()].map((entry) => entry.record);
   }
 
-  /** Marks how far a target is with new weights; spread like an announcement. */
+  /** Sets a target's load state, which is propagated to all processes like an announcement. */
   public setLoadState(id: string, state: LoadState): void {
-    const known = this._records.get(id);
+    const existing = this._targets.get(id);
     const loading = state === 'loading';
     const preparing = state === 'preparing';
-    const { record } = known ?? {};
+    const { record } = existing ?? {};
     if (record !== undefined && (record.loading !== loading || record.preparing !== preparing)) {
-      this._store(copyWith(record, { loading, preparing }), known?.seenAt ?? 0);
+      this._store(copyWith(record, { loading, preparing }), existing?.seenAt ?? 0);
     }
   }
 
-  /** Notes the weights that a target has shown to hold before it announces them itself. */
+  /**
+   * Records the weights that a target reported when it was asked, before it announces them itself. Ignored if
+   * the target has restarted since, so that `born` differs.
+   */
   public setWeights(id: string, born: number, model: string, version: number): void {
-    const known = this._records.get(id);
-    if (known?.record.born !== born) {
+    const existing = this._targets.get(id);
+    if (existing?.record.born !== born) {
       return;
     }
-    const models = known.record.models.map((held) =>
+    const models = existing.record.models.map((held) =>
       held.name === model && Number(held.version) < version
         ? create(TargetModelSchema, { name: model, version: BigInt(version) })
         : held,
     );
-    this._store(copyWith(known.record, { models, loading: false, preparing: false }), known.seenAt);
+    this._store(
+      copyWith(existing.record, { models, loading: false, preparing: false }),
+      existing.seenAt,
+    );
   }
 
-  /** Work of all processes but one at each target. */
-  public sumWork(except: string): TargetWork[] {
+  /** Sum of the work at each target over all processes except one. */
+  public sumWorkOfOthers(excludedNode: string): TargetWork[] {
     const sums = new Map<string, TargetWork>();
     for (const [node, report] of this._processes) {
-      if (node === except) {
+      if (node === excludedNode) {
         continue;
       }
       for (const { id, open, pendingTokens, longStreams } of report.work) {
@@ -198,7 +210,7 @@
     return [...sums.values()];
   }
 
-  /** Streams that are expected to last at a target, as the processes last told. */
+  /** Number of streams at a target that are expected to last long, as last reported by all processes. */
   public countLongStreams(id: string): number {
     let count = 0;
     for (const { work } of this._processes.values()) {
@@ -211,7 +223,10 @@
     return [...this._processes.values()].filter((report) => report.takesRequests).length;
   }
 
-  /** A restarted process counts as another one: what it spent before still counts for a window. */
+  /**
+   * Grants tokens for the demand that a process reports. A restarted process counts as another one, so that
+   * what it spent before the restart still counts for a window.
+   */
   public grantQuotas(
     { node, incarnation, quotas }: IQuotaRequest,
     now: number,
@@ -226,7 +241,7 @@
   }
 
   private _ensurePool(account: string): QuotaPool | undefined {
-    const limit = this._limits.get(account);
+    const limit = this._windowLimits.get(account);
     let pool = this._pools.get(account);
     if (pool === undefined && limit !== undefined) {
       pool = new QuotaPool(
@@ -242,7 +257,7 @@
 
   private _store(record: TargetRecord, seenAt: number): void {
     this._revision += 1;
-    this._records.set(record.id, { record, seenAt, revision: this._revision });
+    this._targets.set(record.id, { record, seenAt, revision: this._revision });
     const { id, service, address, phase, born, sequence, models, silent } = record;
     this._options.log.info('target changed', {
       target: id,
@@ -258,9 +273,9 @@
     });
   }
 
-  /** An address belongs to the target that started last there. */
-  private _endOthersAt(record: TargetRecord): void {
-    for (const { record: other, seenAt } of [...this._records.values()]) {
+  /** Marks every target at the record's address as gone except the one that started last. */
+  private _resolveAddressConflicts(record: TargetRecord): void {
+    for (const { record: other, seenAt } of [...this._targets.values()]) {
       const isOther = other.id !== record.id && other.address === record.address;
       if (isOther && other.phase !== TargetPhase.GONE && other.born < record.born) {
         this._store(copyWith(other, { phase: TargetPhase.GONE }), seenAt);
@@ -272,14 +287,14 @@
 
   private _expire(now: number): void {
     for (const [node, report] of this._processes) {
-      if (now - report.at > PROCESS_KEPT_MS) {
+      if (now - report.receivedAt > PROCESS_REPORT_TTL_MS) {
         this._processes.delete(node);
       }
     }
-    const silentMs = this._options.announceMs * MISSED_ANNOUNCEMENTS;
-    for (const [id, { record, seenAt }] of this._records) {
-      if (now - seenAt > RECORD_KEPT_MS) {
-        this._records.delete(id);
+    const silentMs = this._options.announceMs * MAX_MISSED_ANNOUNCEMENTS;
+    for (const [id, { record, seenAt }] of this._targets) {
+      if (now - seenAt > TARGET_RECORD_TTL_MS) {
+        this._targets.delete(id);
       } else if (!record.silent && now - seenAt > silentMs && record.phase !== TargetPhase.GONE) {
         this._store(copyWith(record, { silent: true }), seenAt);
       }
--- a/src/fleet/FleetNode.test.ts
+++ b/src/fleet/FleetNode.test.ts
@@ -1,4 +1,7 @@
-/** Guards against processes that lose the group, and against answers that nobody confirmed. */
+/**
+ * Guards against processes that can't find the leader, and against answers without confirmation by a
+ * majority.
+ */
 import { create } from '@bufbuild/protobuf';
 import { createClient, createRouterTransport, type Client } from '@connectrpc/connect';
 import type { DescService } from '@bufbuild/protobuf';
@@ -18,12 +21,12 @@
 const CLOCK = new MonotonicClock();
 const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
 
-interface IPeer {
+interface IStartedProcess {
   readonly node: FleetNode;
   readonly view: FleetView;
 }
 
-/** Processes that reach each other without network; a process that is down refuses calls. */
+/** Processes that call each other in memory; a call to a process that was not started is refused. */
 class Fleet {
   public readonly stop = new AbortController();
   private readonly _nodes = new Map<string, FleetNode>();
@@ -41,8 +44,8 @@
     );
   }
 
-  /** Starts a process; a leader has a log of its own. */
-  public start(address: string, seeds: readonly string[], isLeader = false): IPeer {
+  /** Starts a process; a leader gets a replicated log of which it is the only member. */
+  public start(address: string, seeds: readonly string[], isLeader = false): IStartedProcess {
     const view = new FleetView(() => Ok(buildConfiguration()), SILENT_LOG);
     const node = new FleetNode(
       {
@@ -83,17 +86,17 @@
 }
 
 describe('FleetNode', () => {
-  it('brings a change to the leader from any process, and to all processes', async () => {
+  it('forwards a change from any process to the leader and propagates it to all processes', async () => {
     const leader = fleet.start('leader', ['leader'], true);
     const entry = fleet.start('entry', ['leader']);
     const outcome = await entry.node.submit(putDocument(7), fleet.stop.signal);
     expect(outcome).toEqual({ kind: 'committed' });
-    await waitUntil('both obey the change', () => {
+    await waitUntil('both processes apply the change', () => {
       return entry.view.documentVersion === 7 && leader.view.documentVersion === 7;
     });
   });
 
-  it('acknowledges a change again that is in force already', async () => {
+  it('acknowledges a change whose version, or a newer one, is already in force', async () => {
     fleet.start('leader', ['leader'], true);
     const entry = fleet.start('entry', ['leader']);
     await entry.node.submit(putDocument(7), fleet.stop.signal);
@@ -105,31 +108,31 @@
     });
   });
 
-  it('reads nothing without a leader that a majority confirms', async () => {
+  it('neither reads nor commits without a leader that a majority confirms', async () => {
     const entry = fleet.start('entry', ['nobody']);
     expect((await entry.node.readDocument(fleet.stop.signal)).kind).toBe('unsure');
     expect((await entry.node.submit(putDocument(7), fleet.stop.signal)).kind).toBe('unknown');
   });
 
-  it('spreads an announcement before it is confirmed', async () => {
+  it('propagates an announcement to the leader with the next exchange', async () => {
     const leader = fleet.start('leader', ['leader'], true);
     const entry = fleet.start('entry', ['leader']);
-    await waitUntil('the entry knows the leader', () => entry.node.leader === 'leader');
+    await waitUntil('the entry has found the leader', () => entry.node.leader === 'leader');
     entry.node.announce(buildTarget(), CLOCK.now());
     expect(await entry.node.awaitExchange(800, fleet.stop.signal)).toBe(true);
     expect(leader.view.getTarget('i-1') ?? leader.node.getHub(CLOCK.now())).toBeDefined();
-    await waitUntil('the leader knows the target', () => {
+    await waitUntil('the leader has the target', () => {
       return leader.view.getTarget('i-1') !== undefined;
     });
   });
 
-  it('confirms no announcement without a leader', async () => {
+  it('does not confirm an exchange without a leader', async () => {
     const entry = fleet.start('entry', ['nobody']);
     entry.node.announce(buildTarget(), CLOCK.now());
     expect(await entry.node.awaitExchange(100, fleet.stop.signal)).toBe(false);
   });
 
-  it('finds the group when the seeds are processes without disk that have just started', async () => {
+  it('finds the leader when all seeds are diskless processes that have just started', async () => {
     const seeds = ['entry-1', 'entry-2'];
     fleet.start('leader', seeds, true);
     const first = fleet.start('entry-1', seeds);
--- a/src/fleet/FleetNode.ts
+++ b/src/fleet/FleetNode.ts
@@ -1,4 +1,4 @@
-/** Part of every process that exchanges knowledge with the leader, and serves as hub while it leads. */
+/** Connects a process to the leader: exchanges, changes and confirmed reads. Runs the hub while it leads. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import { randomUUID } from 'node:crypto';
 import type { Client, ConnectRouter } from '@connectrpc/connect';
@@ -31,47 +31,53 @@
 import type { FleetState } from './FleetState.js';
 import type { FleetView } from './FleetView.js';
 import type { QuotaWallet } from './QuotaWallet.js';
-import { hasNews } from './TargetOrder.js';
+import { needsPropagation } from './TargetOrder.js';
 import type { RouteTable } from './RouteTable.js';
 import { deriveWindowLimit } from './QuotaRule.js';
 
 /**
- * Between two exchanges; a change reaches every process within this time and a round trip. Each process
- * more makes the interval longer, so that the leader answers at most about 100 a second.
+ * Interval between two exchanges; a change reaches every process within the interval and a round trip. It
+ * grows with the number of entries, so that the leader answers at most about 100 exchanges a second.
  */
-const EXCHANGE_MS = 100;
-const EXCHANGE_PER_ENTRY_MS = 10;
+const EXCHANGE_INTERVAL_MS = 100;
+const EXCHANGE_INTERVAL_PER_ENTRY_MS = 10;
 
-/** Limit of one exchange; a leader that does not answer is given up. */
-const EXCHANGE_LIMIT_MS = 700;
+/**
+ * Timeout of one exchange, after which the leader is searched for again. Also of one call that forwards a
+ * command, and of the wait for a majority's confirmation.
+ */
+const EXCHANGE_TIMEOUT_MS = 700;
 
-/** Shortest time between two exchanges that a request asked for. */
-const URGENT_GAP_MS = 15;
+/** Shortest time between the starts of two exchanges, also of those that were requested at once. */
+const MIN_EXCHANGE_INTERVAL_MS = 15;
 
-/** Limit of a change or a read, so that its caller can turn to another process within a second. */
-const COMMAND_LIMIT_MS = 900;
+/** Timeout of a change or a read, so that its caller can try another process within a second. */
+const COMMAND_TIMEOUT_MS = 900;
 
-/** Between two attempts of a change or a read. */
-const COMMAND_PAUSE_MS = 50;
+/** Mean delay between two attempts of a change or a read; jitter is added. */
+const COMMAND_RETRY_DELAY_MS = 50;
 
-const NOT_CONFIRMED = 'the leader is not confirmed';
+const NOT_CONFIRMED_REASON = 'the leader is not confirmed';
 
-/** A leader whose majority has been silent for this long acts as no hub. */
-const LEADER_STALE_MS = 1_500;
+/** A leader that no majority has confirmed for this long stops acting as the hub. */
+const MAX_CONFIRMATION_AGE_MS = 1_500;
 
-/** Between two times that a member tells the seeds of the group. */
-const HELLO_MS = 500;
+/** Mean interval at which a control member sends membership notices to the seeds; jitter is added. */
+const MEMBERSHIP_NOTICE_INTERVAL_MS = 500;
 
-/** Limit of one hello, and of a search for the leader. */
-const HELLO_LIMIT_MS = 300;
+/** Timeout of the membership notices of one round, and of a search for the leader. */
+const DISCOVERY_TIMEOUT_MS = 300;
 
-/** Processes that are asked at once who leads; more would be a herd towards the members after a common stop. */
-const MAX_ASKED = 4;
+/**
+ * Processes that one search for the leader asks in parallel. More would let a thundering herd hit the control
+ * members after a simultaneous stop of all processes.
+ */
+const MAX_DISCOVERY_CALLS = 4;
 
-/** Between two looks at the confirmation that a read waits for. */
-const CONFIRM_POLL_MS = 15;
+/** Interval at which a read checks whether a majority has confirmed the leader. */
+const CONFIRMATION_POLL_INTERVAL_MS = 15;
 
-/** The replicated log of a process with a disk. */
+/** The replicated log of a process with a disk, and the state machine that it applies commands to. */
 export interface IFleetMember {
   readonly log: IReplicatedLog;
   readonly state: FleetState;
@@ -84,12 +90,12 @@
   readonly hub: IHubOptions;
 }
 
-/** What the data path of this process adds to an exchange. */
+/** Supplies data of this process's data path for exchanges, and receives what the hub returns for it. */
 export interface IWorkSource {
   listWork(): readonly TargetWork[];
-  /** Readings of prompt parts since the last call. */
+  /** Removes and returns the readings of prompt parts since the last call. */
   takeReadings(): readonly PromptReading[];
-  /** Takes readings that other processes have reported. */
+  /** Applies readings that other processes have reported. */
   noteReadings(readings: readonly PromptReading[], now: number): void;
 }
 
@@ -100,27 +106,33 @@
   | { readonly kind: 'read'; readonly document: FleetDocument | undefined }
   | { readonly kind: 'unsure'; readonly reason: string };
 
-/** Announcements, changes, reads and exchanges of one process. */
+/**
+ * Keeps one process in step with the fleet: exchanges reports with the leader, forwards announcements and
+ * changes to it, reads the document with a majority's confirmation, and answers other processes.
+ */
 export class FleetNode {
   private _member: IFleetMember | undefined;
   private _hub: { readonly hub: FleetHub; readonly term: number } | undefined;
   private _leader: string | undefined;
   private _members: readonly string[] = [];
-  /** Announcements to pass on with the next exchange. */
-  private readonly _pending = new Map<string, TargetRecord>();
+  /** Announcements that no hub has acknowledged yet, by target; sent with the next exchange. */
+  private readonly _pendingAnnouncements = new Map<string, TargetRecord>();
+  /** Arrival time of each pending announcement that a target sent to this process. */
   private readonly _pendingSince = new Map<string, number>();
-  private _woken = new AbortController();
-  private _waiters: (() => void)[] = [];
-  private _isInTouch = false;
+  /** Aborted to start the next exchange without waiting for the interval. */
+  private _exchangeRequested = new AbortController();
+  /** Called when the next exchange has ended. */
+  private _exchangeWaiters: (() => void)[] = [];
+  private _isLeaderReachable = false;
   private readonly _incarnation = randomUUID().slice(0, 8);
-  /** Up to where readings of others are known, at the hub of the view's epoch. */
+  /** Revision up to which this process has the others' readings, at the hub of the view's epoch. */
   private _readingRevision = 0n;
 
   constructor(
     private readonly _options: IFleetNodeOptions,
     private readonly _view: FleetView,
     private readonly _wallet: QuotaWallet,
-    private readonly _work: IWorkSource,
+    private readonly _workSource: IWorkSource,
     private readonly _rpc: Pick<RpcClients, 'get'>,
     private readonly _clock: IClock,
     private readonly _log: ILog,
@@ -136,30 +148,34 @@
     this._member = member;
     this._hub = undefined;
     if (member !== undefined) {
-      // The own state may lack what a majority has; the view takes it from the confirmed leader.
+      // The local state may lag behind the majority, so the view is updated from the confirmed leader only.
       member.state.onChange(() => {
-        this._woken.abort();
+        this._exchangeRequested.abort();
       });
     }
   }
 
-  /** Addresses to ask first; replaces those given before. True if they differ. */
+  /** Replaces the addresses at which the leader is searched for; true if they changed. */
   public setSeeds(seeds: readonly string[]): boolean {
     const hasChanged = seeds.join() !== this._seeds.join();
     this._seeds = seeds;
     return hasChanged;
   }
 
-  /** Address of the leader as far as it is known. */
+  /** Address of the leader, as last reported; undefined if unknown. */
   public get leader(): string | undefined {
     return this._leader;
   }
 
-  /** The hub, while this process leads; for decisions that only the leader makes. */
+  /** The hub; undefined unless this process leads and a majority confirmed it lately. */
   public getHub(now: number): FleetHub | undefined {
     const log = this._member?.log;
     const confirmedAt = log?.getConfirmedAt();
-    if (log === undefined || confirmedAt === undefined || now - confirmedAt > LEADER_STALE_MS) {
+    if (
+      log === undefined ||
+      confirmedAt === undefined ||
+      now - confirmedAt > MAX_CONFIRMATION_AGE_MS
+    ) {
       return undefined;
     }
     const { term } = log.status;
@@ -171,7 +187,7 @@
 
   public registerRpc(router: ConnectRouter): void {
     router.service(FleetService, {
-      exchange: (request) => this.answerExchange(request, this._clock.now()),
+      exchange: (request) => this.handleExchange(request, this._clock.now()),
       submit: (request, context) =>
         request.command === undefined
           ? create(SubmitResponseSchema, { reason: 'the command is missing' })
@@ -180,116 +196,127 @@
     });
   }
 
-  /** Takes targets that were known before a restart; they are silent unless they announce themselves. */
+  /**
+   * Restores targets that were saved before a restart; the hub marks those silent that don't announce
+   * themselves.
+   */
   public restoreTargets(records: readonly TargetRecord[]): void {
     for (const record of records) {
       this._view.applyTarget(record);
     }
   }
 
-  /** Takes an announcement that a target sent to this process. */
+  /** Applies an announcement that a target sent to this process, and queues it for the hub. */
   public announce(record: TargetRecord, now: number): void {
-    const known = this._view.getTarget(record.id);
+    const existing = this._view.getTarget(record.id);
     this._view.applyAnnouncement(record);
-    this._pending.set(record.id, record);
+    this._pendingAnnouncements.set(record.id, record);
     this._pendingSince.set(record.id, now);
-    if (known === undefined || hasNews(record, known)) {
-      this._woken.abort();
+    if (existing === undefined || needsPropagation(record, existing)) {
+      this._exchangeRequested.abort();
     }
   }
 
-  /** Waits until the next exchange with the hub has ended; false after the limit. */
-  public async awaitExchange(limitMs: number, signal: AbortSignal): Promise<boolean> {
+  /**
+   * Requests an exchange with the hub at once and waits for its end; false if it timed out or was aborted.
+   */
+  public async awaitExchange(timeoutMs: number, signal: AbortSignal): Promise<boolean> {
     if (this.getHub(this._clock.now()) !== undefined) {
       this._exchangeLocally(this._clock.now());
       return true;
     }
     const controller = new AbortController();
-    let isDone = false;
-    this._waiters.push(() => {
-      isDone = true;
+    let hasEnded = false;
+    this._exchangeWaiters.push(() => {
+      hasEnded = true;
       controller.abort();
     });
-    this._woken.abort();
-    await sleep(limitMs, controller.signal, signal);
-    return isDone;
+    this._exchangeRequested.abort();
+    await sleep(timeoutMs, controller.signal, signal);
+    return hasEnded;
   }
 
-  /** Brings a change to the leader; its outcome is known only if it was committed. */
+  /**
+   * Sends a change to the leader. Unless it reports the commit, the change may have been committed or not.
+   */
   public async submit(command: FleetCommand, signal: AbortSignal): Promise<SubmitOutcome> {
-    const answer = await this._repeatCommand(signal, async (limited) => {
-      const done = this._isLeading()
+    const answer = await this._retryCommand(signal, async (limited) => {
+      const result = this._isLeading()
         ? await this._commit(command, limited)
         : await this._queryLeader(limited, async (client, callLimit) => {
             const reply = await client.submit({ command }, { signal: callLimit });
             return reply.committed ? reply : reply.reason;
           });
-      return typeof done === 'string' || done.committed ? done : done.reason;
+      return typeof result === 'string' || result.committed ? result : result.reason;
     });
     return typeof answer === 'string' ? { kind: 'unknown', reason: answer } : { kind: 'committed' };
   }
 
-  /** Reads the newest document; unsure unless a majority confirmed the leader after the call began. */
+  /** Reads the newest document; `unsure` unless a majority confirmed the leader after the call began. */
   public async readDocument(signal: AbortSignal): Promise<ReadOutcome> {
-    const answer = await this._repeatCommand(signal, async (limited) => {
+    const answer = await this._retryCommand(signal, async (limited) => {
       const read = this._isLeading()
         ? await this._readConfirmed(limited)
         : await this._queryLeader(limited, async (client, callLimit) => {
             const reply = await client.readDocument({}, { signal: callLimit });
-            return reply.confirmed ? reply : NOT_CONFIRMED;
+            return reply.confirmed ? reply : NOT_CONFIRMED_REASON;
           });
-      return typeof read === 'string' || read.confirmed ? read : NOT_CONFIRMED;
+      return typeof read === 'string' || read.confirmed ? read : NOT_CONFIRMED_REASON;
     });
     return typeof answer === 'string'
       ? { kind: 'unsure', reason: answer }
       : { kind: 'read', document: answer.document };
   }
 
-  /** Exchanges with the leader until the signal is aborted. */
+  /** Exchanges with the leader at intervals until the signal is aborted; searches for it when it fails. */
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       const startedAt = this._clock.now();
       await this._exchangeOnce(signal);
-      if (this._woken.signal.aborted) {
-        this._woken = new AbortController();
+      if (this._exchangeRequested.signal.aborted) {
+        this._exchangeRequested = new AbortController();
       } else {
         await sleep(
-          addJitter(this._pickInterval(), () => 0.25 + Math.random() / 2),
-          this._woken.signal,
+          addJitter(this._computeExchangeInterval(), () => 0.25 + Math.random() / 2),
+          this._exchangeRequested.signal,
           signal,
         );
       }
-      const gapMs = URGENT_GAP_MS - (this._clock.now() - startedAt);
-      if (gapMs > 0) {
-        await sleep(gapMs, signal);
+      const remainingMs = MIN_EXCHANGE_INTERVAL_MS - (this._clock.now() - startedAt);
+      if (remainingMs > 0) {
+        await sleep(remainingMs, signal);
       }
     }
   }
 
   /**
-   * Tells the seeds which members there are, until the signal is aborted. Seeds may be exchanged for
-   * processes without disk; after a common stop these know only each other, and nobody would find the group.
+   * Sends membership notices to the seeds while this process is a control member, until the signal is
+   * aborted. Seeds may have been replaced by diskless processes; after a simultaneous stop of all processes
+   * these know only each other, so nobody would find the consensus group without the notices.
    */
   public async runHellos(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       const members = this._listMembers();
       const isMember = members.includes(this._options.address);
-      const others = isMember ? this._seeds.filter((seed) => !members.includes(seed)) : [];
-      await runWithLimit(signal, HELLO_LIMIT_MS, (limited) =>
-        Promise.all(others.map((seed) => this._sendHello(seed, members, limited))),
+      const recipients = isMember ? this._seeds.filter((seed) => !members.includes(seed)) : [];
+      await runWithLimit(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
+        Promise.all(recipients.map((seed) => this._sendMembershipNotice(seed, members, limited))),
       );
-      await sleep(addJitter(HELLO_MS), signal);
+      await sleep(addJitter(MEMBERSHIP_NOTICE_INTERVAL_MS), signal);
     }
   }
 
-  /** Addresses of all processes that may know the group. */
+  /** Addresses of all processes that may know the consensus group. */
   public listKnown(): readonly string[] {
     const leader = this._leader === undefined ? [] : [this._leader];
     return [...new Set([...leader, ...this._members, ...this._seeds])];
   }
 
-  /** Answers another process; only a leader has news. */
-  public answerExchange(request: ExchangeRequest, now: number): ExchangeResponse {
+  /**
+   * Answers an exchange. Only the leader returns fleet data, and none for a membership notice; every process
+   * returns the leader's address and the control members that it knows.
+   */
+  public handleExchange(request: ExchangeRequest, now: number): ExchangeResponse {
     const hub = this.getHub(now);
     if (request.members.length > 0) {
       this._members = request.members;
@@ -302,17 +329,21 @@
     if (hub === undefined || this._member === undefined || request.isHello) {
       return response;
     }
-    hub.takeReport(request, now);
-    const news = hub.listNews(request.epoch, Number(request.revision));
+    hub.applyReport(request, now);
+    const targetDelta = hub.listTargetsSince(request.epoch, Number(request.revision));
     const { state } = this._member;
     response.epoch = hub.epoch;
-    response.revision = BigInt(news.revision);
-    response.targets = [...news.targets];
-    const board = hub.listReadings(request.node, request.epoch, Number(request.readingRevision));
-    response.readings = [...board.readings];
-    response.readingRevision = BigInt(board.revision);
+    response.revision = BigInt(targetDelta.revision);
+    response.targets = [...targetDelta.targets];
+    const readingDelta = hub.listReadings(
+      request.node,
+      request.epoch,
+      Number(request.readingRevision),
+    );
+    response.readings = [...readingDelta.readings];
+    response.readingRevision = BigInt(readingDelta.revision);
     response.weights = [...state.weights];
-    response.work = hub.sumWork(request.node);
+    response.work = hub.sumWorkOfOthers(request.node);
     response.entries = hub.countEntries();
     response.grants = hub.grantQuotas(request, now).map((grant) => create(QuotaGrantSchema, grant));
     if (state.document !== undefined && state.document.version > request.documentVersion) {
@@ -325,12 +356,12 @@
     return this.getHub(this._clock.now()) !== undefined;
   }
 
-  /** Repeats a command until it has an answer other than a reason, or the limit is reached. */
-  private _repeatCommand<T>(
+  /** Retries until an attempt returns a result; returns the last failure's reason if it times out. */
+  private _retryCommand<T>(
     signal: AbortSignal,
     attempt: (limited: AbortSignal) => Promise<T | string>,
   ): Promise<T | string> {
-    return runWithLimit(signal, COMMAND_LIMIT_MS, async (limited) => {
+    return runWithLimit(signal, COMMAND_TIMEOUT_MS, async (limited) => {
       let reason = 'no leader is known';
       while (!isAborted(limited)) {
         const answer = await attempt(limited);
@@ -338,7 +369,7 @@
           return answer;
         }
         reason = answer;
-        await sleep(addJitter(COMMAND_PAUSE_MS), limited);
+        await sleep(addJitter(COMMAND_RETRY_DELAY_MS), limited);
       }
       return reason;
     });
@@ -367,8 +398,10 @@
   }
 
   private _buildRequest(now: number): ExchangeRequest {
-    const isKnownEpoch = this._view.epoch !== '';
-    const announced = isKnownEpoch ? [...this._pending.values()] : this._view.listRecords();
+    const hasExchanged = this._view.epoch !== '';
+    const announced = hasExchanged
+      ? [...this._pendingAnnouncements.values()]
+      : this._view.listRecords();
     return create(ExchangeRequestSchema, {
       node: this._options.address,
       epoch: this._view.epoch,
@@ -378,10 +411,10 @@
         ...record,
         ageMs: Math.round(now - (this._pendingSince.get(record.id) ?? now)),
       })),
-      work: [...this._work.listWork()],
+      work: [...this._workSource.listWork()],
       quotas: this._wallet.report(now).map((line) => create(QuotaReportSchema, line)),
       takesRequests: this._options.takesRequests,
-      readings: [...this._work.takeReadings()],
+      readings: [...this._workSource.takeReadings()],
       readingRevision: this._readingRevision,
       incarnation: this._incarnation,
     });
@@ -389,9 +422,9 @@
 
   private _exchangeLocally(now: number): void {
     const request = this._buildRequest(now);
-    const waiters = this._waiters;
-    this._waiters = [];
-    this._applyAnswer(this.answerExchange(request, now), request.announced, waiters, now);
+    const waiters = this._exchangeWaiters;
+    this._exchangeWaiters = [];
+    this._applyResponse(this.handleExchange(request, now), request.announced, waiters, now);
   }
 
   private async _exchangeOnce(signal: AbortSignal): Promise<void> {
@@ -400,34 +433,36 @@
       this._exchangeLocally(now);
       return;
     }
-    const known = this._getKnownLeader();
-    const isOther = known !== undefined && known !== this._options.address;
-    if (isOther && (await this._exchangeWith(known, signal))) {
+    const knownLeader = this._getKnownLeader();
+    const isRemote = knownLeader !== undefined && knownLeader !== this._options.address;
+    if (isRemote && (await this._exchangeWith(knownLeader, signal))) {
       return;
     }
-    const found = await this._findLeader(signal);
-    if (found !== undefined && (await this._exchangeWith(found, signal))) {
+    const foundLeader = await this._findLeader(signal);
+    if (foundLeader !== undefined && (await this._exchangeWith(foundLeader, signal))) {
       return;
     }
-    this._noteTouch(false, 'no leader answered');
+    this._updateLeaderReachability(false, 'no leader answered');
   }
 
-  /** Undefined if no process that was asked knows another one that leads. */
+  /**
+   * Searches for the leader; undefined if no process that was asked knows another leader than this process.
+   */
   private async _findLeader(signal: AbortSignal): Promise<string | undefined> {
-    const asked = this._listLeaderCandidates().slice(0, MAX_ASKED);
+    const candidates = this._listLeaderCandidates().slice(0, MAX_DISCOVERY_CALLS);
     const ask = async (address: string, limited: AbortSignal): Promise<ILeaderHint | undefined> => {
-      const answer = await this._sendHello(address, [], limited);
+      const answer = await this._sendMembershipNotice(address, [], limited);
       this._members = answer?.members.length ? answer.members : this._members;
       return answer;
     };
-    const leader = await runWithLimit(signal, HELLO_LIMIT_MS, (limited) =>
-      findLeader(asked, ask, limited),
+    const leader = await runWithLimit(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
+      findLeader(candidates, ask, limited),
     );
     return leader === this._options.address ? undefined : leader;
   }
 
-  /** Tells a process which members there are, and hears what it knows; undefined if it does not answer. */
-  private async _sendHello(
+  /** Sends the member list, which may be empty; returns the answer, or undefined if the call failed. */
+  private async _sendMembershipNotice(
     address: string,
     members: readonly string[],
     signal: AbortSignal,
@@ -440,28 +475,28 @@
     try {
       return await this._rpc.get(FleetService, address).exchange(request, { signal });
     } catch (error) {
-      this._log.debug('hello failed', { address, reason: describeError(error) });
+      this._log.debug('membership notice failed', { address, reason: describeError(error) });
       return undefined;
     }
   }
 
-  private _pickInterval(): number {
-    return Math.max(EXCHANGE_MS, this._view.entries * EXCHANGE_PER_ENTRY_MS);
+  private _computeExchangeInterval(): number {
+    return Math.max(EXCHANGE_INTERVAL_MS, this._view.entries * EXCHANGE_INTERVAL_PER_ENTRY_MS);
   }
 
-  /** True if the process at the address answered as leader. */
+  /** Exchanges with the process at an address; true if it answered as the leader. */
   private async _exchangeWith(address: string, signal: AbortSignal): Promise<boolean> {
-    const waiters = this._waiters;
-    this._waiters = [];
+    const waiters = this._exchangeWaiters;
+    this._exchangeWaiters = [];
     const request = this._buildRequest(this._clock.now());
     try {
-      const answer = await runWithLimit(signal, EXCHANGE_LIMIT_MS, (limited) =>
+      const answer = await runWithLimit(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
         this._rpc.get(FleetService, address).exchange(request, { signal: limited }),
       );
       this._members = answer.members.length > 0 ? answer.members : this._members;
       if (answer.leads) {
         this._leader = address;
-        this._applyAnswer(answer, request.announced, waiters, this._clock.now());
+        this._applyResponse(answer, request.announced, waiters, this._clock.now());
         return true;
       }
       this._leader = answer.leaderAddress === '' ? undefined : answer.leaderAddress;
@@ -469,47 +504,50 @@
       this._log.debug('exchange failed', { address, reason: describeError(error) });
       this._leader = this._leader === address ? undefined : this._leader;
     }
-    this._waiters.push(...waiters);
+    this._exchangeWaiters.push(...waiters);
     return false;
   }
 
-  private _applyAnswer(
+  private _applyResponse(
     answer: ExchangeResponse,
     announced: readonly TargetRecord[],
     waiters: readonly (() => void)[],
     now: number,
   ): void {
     const isNewEpoch = answer.epoch !== this._view.epoch;
-    this._view.applyAnswer(answer, now);
+    this._view.applyResponse(answer, now);
     this._readingRevision = answer.readingRevision;
-    this._work.noteReadings(answer.readings, now);
+    this._workSource.noteReadings(answer.readings, now);
     for (const record of announced) {
-      const pending = this._pending.get(record.id);
+      const pending = this._pendingAnnouncements.get(record.id);
       if (pending?.sequence === record.sequence && pending.born === record.born) {
-        this._pending.delete(record.id);
+        this._pendingAnnouncements.delete(record.id);
         this._pendingSince.delete(record.id);
       }
     }
     if (isNewEpoch) {
-      // The new hub may not know what this process was told before.
+      // A new hub starts without the earlier announcements, so all known ones are sent again.
       for (const record of this._view.listRecords()) {
-        this._pending.set(record.id, this._pending.get(record.id) ?? record);
+        this._pendingAnnouncements.set(
+          record.id,
+          this._pendingAnnouncements.get(record.id) ?? record,
+        );
       }
     }
-    this._wallet.noteAnswer(now);
+    this._wallet.recordHubAnswer(now);
     for (const { clientAccount, tokens, waitMs } of answer.grants) {
       this._wallet.addGrant(clientAccount, tokens, waitMs, now);
     }
     for (const finish of waiters) {
       finish();
     }
-    this._noteTouch(true, answer.epoch);
+    this._updateLeaderReachability(true, answer.epoch);
   }
 
-  private _noteTouch(isInTouch: boolean, detail: string): void {
-    if (isInTouch !== this._isInTouch) {
-      this._isInTouch = isInTouch;
-      this._log.info(isInTouch ? 'leader regained' : 'leader lost', {
+  private _updateLeaderReachability(isReachable: boolean, detail: string): void {
+    if (isReachable !== this._isLeaderReachable) {
+      this._isLeaderReachable = isReachable;
+      this._log.info(isReachable ? 'leader regained' : 'leader lost', {
         detail,
         lastAnswerAgeMs: Math.round(this._clock.now() - this._view.answeredAt),
       });
@@ -533,7 +571,7 @@
     return own.length > 0 ? own : [...this._members];
   }
 
-  /** Asks one process after the other until one answers as leader; else the last reason. */
+  /** Calls one process after the other until one answers as the leader; else returns the last reason. */
   private async _queryLeader<T>(
     signal: AbortSignal,
     ask: (client: Client<typeof FleetService>, limited: AbortSignal) => Promise<T | string>,
@@ -541,7 +579,7 @@
     let reason = 'no leader is known';
     for (const address of this._listLeaderCandidates()) {
       try {
-        const answer = await runWithLimit(signal, EXCHANGE_LIMIT_MS, (limited) =>
+        const answer = await runWithLimit(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
           ask(this._rpc.get(FleetService, address), limited),
         );
         if (typeof answer !== 'string') {
@@ -558,29 +596,29 @@
     return reason;
   }
 
-  /** Commits a command on this leader, unless the state shows that it would change nothing. */
+  /** Commits a command if this process leads. A command that is already applied needs only a confirmation. */
   private async _commit(command: FleetCommand, signal: AbortSignal): Promise<SubmitResponse> {
     const member = this._member;
     if (member === undefined || this.getHub(this._clock.now()) === undefined) {
       return create(SubmitResponseSchema, { reason: 'this process does not lead' });
     }
-    if (isSettled(command, member.state)) {
-      const confirmed = await this._waitConfirmed(signal);
+    if (isAlreadyApplied(command, member.state)) {
+      const confirmed = await this._waitForConfirmation(signal);
       return create(SubmitResponseSchema, {
         committed: confirmed,
-        reason: confirmed ? '' : NOT_CONFIRMED,
+        reason: confirmed ? '' : NOT_CONFIRMED_REASON,
       });
     }
-    const done = await runWithLimit(signal, COMMAND_LIMIT_MS, (limited) =>
+    const result = await runWithLimit(signal, COMMAND_TIMEOUT_MS, (limited) =>
       member.log.propose(toBinary(FleetCommandSchema, command), limited),
     );
-    return done.ok
+    return result.ok
       ? create(SubmitResponseSchema, { committed: true })
-      : create(SubmitResponseSchema, { reason: done.val.message });
+      : create(SubmitResponseSchema, { reason: result.val.message });
   }
 
   private async _readConfirmed(signal: AbortSignal): Promise<ReadDocumentResponse> {
-    const isConfirmed = await this._waitConfirmed(signal);
+    const isConfirmed = await this._waitForConfirmation(signal);
     const response = create(ReadDocumentResponseSchema, { confirmed: isConfirmed });
     const document = this._member?.state.document;
     if (document !== undefined) {
@@ -589,10 +627,13 @@
     return response;
   }
 
-  /** True once a majority has confirmed this leader after the call began. */
-  private async _waitConfirmed(signal: AbortSignal): Promise<boolean> {
+  /**
+   * True once a majority has confirmed this leader after the call began; false if it times out or doesn't
+   * lead.
+   */
+  private async _waitForConfirmation(signal: AbortSignal): Promise<boolean> {
     const calledAt = this._clock.now();
-    return runWithLimit(signal, EXCHANGE_LIMIT_MS, async (limited) => {
+    return runWithLimit(signal, EXCHANGE_TIMEOUT_MS, async (limited) => {
       while (!isAborted(limited)) {
         const confirmedAt = this._member?.log.getConfirmedAt();
         if (confirmedAt === undefined) {
@@ -601,15 +642,15 @@
         if (confirmedAt >= calledAt) {
           return true;
         }
-        await sleep(CONFIRM_POLL_MS, limited);
+        await sleep(CONFIRMATION_POLL_INTERVAL_MS, limited);
       }
       return false;
     });
   }
 }
 
-/** True if the committed state already holds the command or something newer. */
-function isSettled(command: FleetCommand, state: FleetState): boolean {
+/** True if the state already has the command's version or a newer one. */
+function isAlreadyApplied(command: FleetCommand, state: FleetState): boolean {
   switch (command.body.case) {
     case 'putDocument': {
       const { version } = command.body.value;
@@ -617,7 +658,7 @@
     }
     case 'nameWeights': {
       const { model, version } = command.body.value;
-      return state.weights.some((known) => known.model === model && version <= known.version);
+      return state.weights.some((named) => named.model === model && version <= named.version);
     }
     case undefined:
       return true;
--- a/src/fleet/FleetState.test.ts
+++ b/src/fleet/FleetState.test.ts
@@ -1,4 +1,7 @@
-/** Guards against a configuration that reverts, or that differs under one version. */
+/**
+ * Guards against a configuration that reverts to an older version, or differs between members under one
+ * version.
+ */
 import { create, toBinary } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import { FleetCommandSchema, type FleetCommand } from '../gen/redwingwharf/v1/fleet_pb.js';
@@ -30,7 +33,7 @@
 }
 
 describe('FleetState', () => {
-  it('keeps the highest version, whatever the order of arrival', () => {
+  it('keeps the highest version in any order of arrival', () => {
     const state = new FleetState();
     apply(state, putDocument(9, 'nine'), putDocument(4, 'four'), putDocument(12, 'twelve'));
     expect(readText(state)).toBe('twelve');
@@ -53,7 +56,7 @@
     ]);
   });
 
-  it('is the same after a snapshot and a restore', () => {
+  it('restores the same state from a snapshot', () => {
     const state = new FleetState();
     apply(state, putDocument(9, 'nine'), nameWeights('m', 3));
     const copy = new FleetState();
@@ -62,7 +65,7 @@
     expect(copy.snapshot()).toEqual(state.snapshot());
   });
 
-  it('ignores bytes that are no command', () => {
+  it('ignores bytes that are not a command', () => {
     const state = new FleetState();
     state.apply(new Uint8Array([255, 255, 255]));
     expect(state.document).toBeUndefined();
--- a/src/fleet/FleetState.ts
+++ b/src/fleet/FleetState.ts
@@ -13,7 +13,7 @@
 
 const EMPTY_RESULT = new Uint8Array();
 
-/** Bytes that don't decode make no command; all members treat them alike. */
+/** Undefined for bytes that don't decode; every member ignores them, so that the states stay equal. */
 function decodeCommand(bytes: Uint8Array): FleetCommand | undefined {
   try {
     return fromBinary(FleetCommandSchema, bytes);
@@ -23,8 +23,8 @@
 }
 
 /**
- * State machine in which the highest version wins. A document whose version is not higher changes
- * nothing, so repeats and late arrivals are harmless.
+ * State machine that keeps the document and the weights of each model with the highest version. Commands
+ * with the same or a lower version change nothing, so repeats and late arrivals are harmless.
  */
 export class FleetState implements IStateMachine {
   private readonly _changes = new Emitter<undefined>();
@@ -44,7 +44,7 @@
   }
 
   public apply(command: Uint8Array): Uint8Array {
-    // Decoded byte fields share the buffer; a copy keeps what is stored from holding a whole batch.
+    // Decoded byte fields share the buffer; without the copy a stored document would retain a whole batch.
     const body = decodeCommand(new Uint8Array(command))?.body;
     switch (body?.case) {
       case 'putDocument':
@@ -68,10 +68,10 @@
   }
 
   public restore(bytes: Uint8Array): void {
-    const saved = fromBinary(FleetSnapshotSchema, new Uint8Array(bytes));
-    this._document = saved.document;
+    const snapshot = fromBinary(FleetSnapshotSchema, new Uint8Array(bytes));
+    this._document = snapshot.document;
     this._weights.clear();
-    for (const weights of saved.weights) {
+    for (const weights of snapshot.weights) {
       this._weights.set(weights.model, weights);
     }
     this._changes.fire(undefined);
@@ -85,8 +85,8 @@
   }
 
   private _nameWeights({ model, version }: NamedWeights): void {
-    const known = this._weights.get(model);
-    if (known === undefined || version > known.version) {
+    const current = this._weights.get(model);
+    if (current === undefined || version > current.version) {
       this._weights.set(model, create(NamedWeightsSchema, { model, version }));
       this._changes.fire(undefined);
     }
--- a/src/fleet/FleetView.ts
+++ b/src/fleet/FleetView.ts
@@ -1,4 +1,4 @@
-/** What this process believes of the fleet: configuration, targets, work, weights. */
+/** This process's copy of the fleet's state: configuration, targets, work, weights. */
 import type { ILog } from '../common/Log.js';
 import { Emitter } from '../common/Lifecycle.js';
 import {
@@ -16,38 +16,43 @@
 
 const NO_WORK = { open: 0, pendingTokens: 0 };
 
-/** Work that other processes have at a target, as of the last exchange. */
-export interface IOthersWork {
+/** Work of other processes at a target, as of the last exchange. */
+export interface IRemoteWork {
   readonly open: number;
   readonly pendingTokens: number;
 }
 
-/** Copy of the hub's state. Documents and weights never go back. */
+/**
+ * Holds what the hub reported and what targets announced to this process directly. Versions of the document
+ * and of weights never decrease, also when the hub changes.
+ */
 export class FleetView {
   private readonly _targets = new Map<string, TargetRecord>();
-  private readonly _byService = new Map<string, TargetRecord[]>();
+  private readonly _readyByService = new Map<string, TargetRecord[]>();
   private readonly _weights = new WeightsHistory();
   private readonly _tableChanges = new Emitter<RouteTable>();
-  private readonly _targetLosses = new Emitter<TargetRecord>();
-  private _work: ReadonlyMap<string, IOthersWork> = new Map();
+  private readonly _unavailableTargets = new Emitter<TargetRecord>();
+  private _remoteWork: ReadonlyMap<string, IRemoteWork> = new Map();
   private _table: RouteTable | undefined;
-  private _entries = 1;
+  private _entryCount = 1;
 
   public readonly onTableChange = this._tableChanges.onFire;
-  /** Fires when a target takes no new work any more. */
-  public readonly onTargetLoss = this._targetLosses.onFire;
+  /** Fires with the former record when a ready target stops being ready or restarts. */
+  public readonly onTargetLoss = this._unavailableTargets.onFire;
 
+  /** Epoch of the hub that answered last; empty before its first answer. */
   public epoch = '';
+  /** The hub's revision up to which this copy is complete. */
   public revision = 0;
-  /** Time of the last answer of a hub. */
+  /** Monotonic time in milliseconds of the last answer of a hub. */
   public answeredAt = Number.NEGATIVE_INFINITY;
 
   constructor(
-    private readonly _decode: DocumentDecoder,
+    private readonly _decodeDocument: DocumentDecoder,
     private readonly _log: ILog,
   ) {}
 
-  /** Undefined until the first configuration arrived. */
+  /** Index of the configuration in force; undefined until the first one arrived. */
   public get table(): RouteTable | undefined {
     return this._table;
   }
@@ -56,34 +61,34 @@
     return this._table?.version ?? 0;
   }
 
-  /** Processes that take requests; at least this one. */
+  /** Number of processes that take requests; at least 1, which is this one. */
   public get entries(): number {
-    return this._entries;
+    return this._entryCount;
   }
 
-  /** Versions of the models' weights and when they were named. */
+  /** Named versions of each model's weights, and when this process learned of them. */
   public get weights(): WeightsHistory {
     return this._weights;
   }
 
-  /** Targets of a service that take new work. */
+  /** Targets of a service that are ready, also silent ones. */
   public listTargets(service: string): readonly TargetRecord[] {
-    return this._byService.get(service) ?? [];
+    return this._readyByService.get(service) ?? [];
   }
 
   public getTarget(id: string): TargetRecord | undefined {
     return this._targets.get(id);
   }
 
-  public getOthersWork(id: string): IOthersWork {
-    return this._work.get(id) ?? NO_WORK;
+  public getOthersWork(id: string): IRemoteWork {
+    return this._remoteWork.get(id) ?? NO_WORK;
   }
 
   public applyDocument(document: FleetDocument): void {
     if (this._table !== undefined && Number(document.version) <= this._table.version) {
       return;
     }
-    const decoded = this._decode(document.content);
+    const decoded = this._decodeDocument(document.content);
     if (decoded.err) {
       this._log.error('the configuration in force cannot be decoded', {
         version: String(document.version),
@@ -108,40 +113,40 @@
     }
   }
 
-  /** Applies an announcement that arrived here; what the hub said of the target's weights stays. */
+  /** Applies an announcement that a target sent to this process; the load state that the hub set is kept. */
   public applyAnnouncement(record: TargetRecord): void {
-    const known = this._targets.get(record.id);
-    if (known?.born === record.born) {
-      record.loading = known.loading;
-      record.preparing = known.preparing;
+    const existing = this._targets.get(record.id);
+    if (existing?.born === record.born) {
+      record.loading = existing.loading;
+      record.preparing = existing.preparing;
     }
     this.applyTarget(record);
   }
 
-  /** Applies what the hub says of a target. */
+  /** Applies a target's record from the hub; ignored if a later one is known. */
   public applyTarget(record: TargetRecord): void {
-    const known = this._targets.get(record.id);
-    const isSameStart = known?.born === record.born;
-    if (known !== undefined && isLater(known, record)) {
+    const existing = this._targets.get(record.id);
+    const isSameIncarnation = existing?.born === record.born;
+    if (existing !== undefined && isLater(existing, record)) {
       return;
     }
     this._targets.set(record.id, record);
-    const wasOpen = known !== undefined && isOpen(known);
-    if (known !== undefined && wasOpen && (!isOpen(record) || !isSameStart)) {
-      this._targetLosses.fire(known);
+    const wasReady = existing !== undefined && isReady(existing);
+    if (existing !== undefined && wasReady && (!isReady(record) || !isSameIncarnation)) {
+      this._unavailableTargets.fire(existing);
     }
     this._refreshService(record.service);
-    if (known !== undefined && known.service !== record.service) {
-      this._refreshService(known.service);
+    if (existing !== undefined && existing.service !== record.service) {
+      this._refreshService(existing.service);
     }
   }
 
-  /** Applies an answer of the hub. */
-  public applyAnswer(answer: ExchangeResponse, now: number): void {
+  /** Applies the hub's answer to an exchange. */
+  public applyResponse(answer: ExchangeResponse, now: number): void {
     this.answeredAt = now;
     this.epoch = answer.epoch;
     this.revision = Number(answer.revision);
-    this._entries = Math.max(1, answer.entries);
+    this._entryCount = Math.max(1, answer.entries);
     if (answer.document !== undefined) {
       this.applyDocument(answer.document);
     }
@@ -149,22 +154,22 @@
     for (const record of answer.targets) {
       this.applyTarget(record);
     }
-    this._work = new Map(answer.work.map((work: TargetWork) => [work.id, work]));
+    this._remoteWork = new Map(answer.work.map((work: TargetWork) => [work.id, work]));
   }
 
-  /** All announcements known here, for a hub of a new epoch. */
+  /** The latest known record of every target, to restore them at a hub of a new epoch. */
   public listRecords(): readonly TargetRecord[] {
     return [...this._targets.values()];
   }
 
   private _refreshService(service: string): void {
-    const open = [...this._targets.values()].filter(
-      (record) => record.service === service && isOpen(record),
+    const ready = [...this._targets.values()].filter(
+      (record) => record.service === service && isReady(record),
     );
-    this._byService.set(service, open);
+    this._readyByService.set(service, ready);
   }
 }
 
-function isOpen(record: TargetRecord): boolean {
+function isReady(record: TargetRecord): boolean {
   return record.phase === TargetPhase.READY;
 }
--- a/src/fleet/HeldWeights.ts
+++ b/src/fleet/HeldWeights.ts
@@ -1,7 +1,7 @@
-/** Weights that a target holds. */
+/** Looks up which weights a target has announced to hold. */
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 
-/** Version of a model's weights that the target announced; undefined if it does not run the model. */
+/** Version of a model's weights that the target announced; undefined if it doesn't run the model. */
 export function getHeldVersion(
   record: TargetRecord,
   model: string | undefined,
--- a/src/fleet/LeaderSearch.test.ts
+++ b/src/fleet/LeaderSearch.test.ts
@@ -1,12 +1,12 @@
-/** Guards against a search for the leader that waits for processes that are down. */
+/** Guards against a search for the leader that waits for the timeout of processes that are down. */
 import { describe, expect, it } from 'vitest';
 import { sleep } from '../common/Tasks.js';
-import { findLeader, type LeaderQuestion } from './LeaderSearch.js';
+import { findLeader, type LeaderQuery } from './LeaderSearch.js';
 
 const SIGNAL = new AbortController().signal;
 
-/** Processes that answer at once; all others hang until they are given up. */
-function buildQuestion(leaders: Readonly<Record<string, string>>): LeaderQuestion {
+/** Processes that answer at once with the leader's address; all others hang until the call is aborted. */
+function buildQuery(leaders: Readonly<Record<string, string>>): LeaderQuery {
   return async (address, signal) => {
     const leaderAddress = leaders[address];
     if (leaderAddress === undefined) {
@@ -17,20 +17,20 @@
   };
 }
 
-describe('findLeader after a common stop', () => {
-  it('waits for no process that is still down when another one leads', async () => {
+describe('findLeader after a simultaneous stop', () => {
+  it('returns the leader without waiting for processes that are still down', async () => {
     const startedAt = performance.now();
-    const ask = buildQuestion({ c: 'c', d: '' });
+    const ask = buildQuery({ c: 'c', d: '' });
     expect(await findLeader(['a', 'b', 'c', 'd'], ask, SIGNAL)).toBe('c');
     expect(performance.now() - startedAt).toBeLessThan(1_000);
   });
 
-  it('takes who was named when the time is up', async () => {
-    const ask = buildQuestion({ b: 'c' });
+  it('returns the reported leader at the timeout if no process has answered as leader', async () => {
+    const ask = buildQuery({ b: 'c' });
     expect(await findLeader(['a', 'b'], ask, AbortSignal.timeout(50))).toBe('c');
   });
 
-  it('finds none when nobody knows one', async () => {
-    expect(await findLeader(['a', 'b'], buildQuestion({ a: '', b: '' }), SIGNAL)).toBeUndefined();
+  it('returns undefined if no process knows a leader', async () => {
+    expect(await findLeader(['a', 'b'], buildQuery({ a: '', b: '' }), SIGNAL)).toBeUndefined();
   });
 });
--- a/src/fleet/LeaderSearch.ts
+++ b/src/fleet/LeaderSearch.ts
@@ -1,40 +1,40 @@
-/** Asks several processes at once who leads, so that those that have not come up yet delay nobody. */
+/** Asks several processes in parallel for the leader, so that those that are still down delay nobody. */
 
-/** What a process says of the leader. */
+/** A process's answer about the leader. */
 export interface ILeaderHint {
-  /** True: the process asked leads. */
+  /** True: the answering process leads. */
   readonly leads: boolean;
-  /** Who leads as far as that process knows; empty if it does not. */
+  /** Address of the leader as that process knows it; empty if unknown. */
   readonly leaderAddress: string;
 }
 
-/** Asks one process; undefined if it does not answer. */
-export type LeaderQuestion = (
+/** Asks one process; resolves to undefined if it does not answer. */
+export type LeaderQuery = (
   address: string,
   signal: AbortSignal,
 ) => Promise<ILeaderHint | undefined>;
 
 /**
- * Address of the leader: the first process that says that it leads or, if none does before all have
- * answered or the signal is aborted, the first one that was named. Undefined if none was.
+ * Returns the address of the first process that answers as the leader. If none does before all queries have
+ * ended or the signal is aborted, returns the first address that an answer reported, else undefined.
  */
 export async function findLeader(
   addresses: readonly string[],
-  ask: LeaderQuestion,
+  query: LeaderQuery,
   signal: AbortSignal,
 ): Promise<string | undefined> {
-  const found = new AbortController();
-  let named: string | undefined;
+  const leaderFound = new AbortController();
+  let reportedLeader: string | undefined;
   let leader: string | undefined;
-  const questions = addresses.map(async (address) => {
-    const hint = await ask(address, AbortSignal.any([signal, found.signal]));
+  const queries = addresses.map(async (address) => {
+    const hint = await query(address, AbortSignal.any([signal, leaderFound.signal]));
     if (hint?.leads === true) {
       leader ??= address;
-      found.abort();
+      leaderFound.abort();
     } else if (hint !== undefined && hint.leaderAddress !== '') {
-      named ??= hint.leaderAddress;
+      reportedLeader ??= hint.leaderAddress;
     }
   });
-  await Promise.all(questions);
-  return leader ?? named;
+  await Promise.all(queries);
+  return leader ?? reportedLeader;
 }
--- a/src/fleet/QuotaPool.ts
+++ b/src/fleet/QuotaPool.ts
@@ -1,89 +1,99 @@
-/** Tokens of one client account at the hub, handed out to the entries on demand. */
+/** Grants the tokens of one client account to the entries on demand; part of the hub. */
 
-/** Part of what is left that one exchange may take when it is scarce, so that others get some too. */
-const LARGEST_PART = 0.5;
+/** Fraction of the scarce tokens left that one exchange may take, so that other entries get some too. */
+const MAX_GRANT_FRACTION = 0.5;
 
-/** Until then the entries may not have reported what they spent, and a new hub grants only a share. */
-const LEARN_MS = 500;
+/**
+ * Time for which a new hub grants only a share of the limit, as some entries have not reported what they
+ * spent.
+ */
+const WARM_UP_MS = 500;
 
-/** Entries that a new hub reckons with at least. */
-const MIN_ENTRIES = 8;
+/**
+ * Number of entries that a new hub divides the limit by while it warms up; the real number is not known
+ * yet.
+ */
+const WARM_UP_ENTRIES = 8;
 
 /**
- * Part of the limit that is granted within the first window after a common stop: what was spent before it
- * is not known any more.
+ * Fraction of the limit that is granted at the start of the first window after a simultaneous stop of all
+ * processes, as what was spent before it is lost. It rises to the full limit within the window.
  */
-const FRESH_PART = 0.5;
+const COLD_START_FRACTION = 0.5;
 
-/** What an entry gets. */
+/** Result of one exchange. */
 export interface IQuotaDecision {
   readonly tokens: number;
-  /** Time until the rest of what was wanted is expected; 0 if all was granted. */
+  /** Milliseconds until the tokens that were not granted are expected; 0 if all were, or while warming up. */
   readonly waitMs: number;
 }
 
-/** Report of one entry. */
-export interface IQuotaUse {
-  /** Tokens that the entry holds. */
+/** What one entry reports. */
+export interface IQuotaUsage {
+  /** Tokens that the entry holds and has not spent. */
   readonly held: number;
-  /** Tokens that it spent within the window. */
+  /** Tokens that the entry spent within the window. */
   readonly spent: number;
 }
 
 /**
- * Sliding window over all entries: what they spent within the window and what they hold never exceeds
- * the limit. All of its state comes from the entries, so a new hub knows it after one round of reports.
+ * Enforces a sliding-window limit across all entries: what they hold plus what they spent within the window
+ * never exceeds the limit. Its state comes from the entries' reports only, so a new hub recovers it with one
+ * report of each entry.
  */
 export class QuotaPool {
-  private readonly _uses = new Map<string, IQuotaUse & { readonly at: number }>();
+  private readonly _usageByEntry = new Map<string, IQuotaUsage & { readonly at: number }>();
 
   constructor(
     /** Most tokens within the window. */
     private _limit: number,
     private readonly _windowMs: number,
     private readonly _startedAt: number,
-    /** True: the processes have just started, and none may know what was spent before. */
-    private readonly _isFresh: boolean,
+    /** True: all processes may have just started, so that none knows what was spent before. */
+    private readonly _isColdStart: boolean,
   ) {}
 
   public setLimit(limit: number): void {
     this._limit = limit;
   }
 
-  /** Takes an entry's report and grants what it lacks, as far as the window allows. */
-  public exchange(entry: string, use: IQuotaUse, wanted: number, now: number): IQuotaDecision {
-    this._uses.set(entry, { ...use, at: now });
-    const missing = Math.max(0, wanted - use.held);
-    const isLearning = now - this._startedAt < LEARN_MS;
-    const limit = this._deriveLimit(now);
-    const left = Math.max(
+  /** Records an entry's report and grants what it lacks up to `wanted`, as far as the window allows. */
+  public exchange(entry: string, use: IQuotaUsage, wanted: number, now: number): IQuotaDecision {
+    this._usageByEntry.set(entry, { ...use, at: now });
+    const requested = Math.max(0, wanted - use.held);
+    const isWarmingUp = now - this._startedAt < WARM_UP_MS;
+    const limit = this._computeLimit(now);
+    const available = Math.max(
       0,
-      isLearning ? limit / MIN_ENTRIES - use.held - use.spent : limit - this._sumUse(now),
+      isWarmingUp ? limit / WARM_UP_ENTRIES - use.held - use.spent : limit - this._sumUsage(now),
+    );
+    const tokens = Math.min(
+      requested,
+      requested <= available * MAX_GRANT_FRACTION ? available : available * MAX_GRANT_FRACTION,
     );
-    const tokens = Math.min(missing, missing <= left * LARGEST_PART ? left : left * LARGEST_PART);
-    this._uses.set(entry, { held: use.held + tokens, spent: use.spent, at: now });
-    const lacking = missing - tokens;
+    this._usageByEntry.set(entry, { held: use.held + tokens, spent: use.spent, at: now });
+    const shortfall = requested - tokens;
     return {
       tokens,
       waitMs:
-        lacking > 0 && !isLearning
-          ? Math.ceil((lacking / Math.max(1, this._limit)) * this._windowMs)
+        shortfall > 0 && !isWarmingUp
+          ? Math.ceil((shortfall / Math.max(1, this._limit)) * this._windowMs)
           : 0,
     };
   }
 
-  private _deriveLimit(now: number): number {
-    const age = (now - this._startedAt) / this._windowMs;
-    return this._isFresh && age < 1
-      ? this._limit * (FRESH_PART + (1 - FRESH_PART) * age)
+  private _computeLimit(now: number): number {
+    const elapsedWindows = (now - this._startedAt) / this._windowMs;
+    return this._isColdStart && elapsedWindows < 1
+      ? this._limit * (COLD_START_FRACTION + (1 - COLD_START_FRACTION) * elapsedWindows)
       : this._limit;
   }
 
-  private _sumUse(now: number): number {
+  private _sumUsage(now: number): number {
     let sum = 0;
-    for (const [entry, { held, spent, at }] of this._uses) {
+    for (const [entry, { held, spent, at }] of this._usageByEntry) {
       if (now - at > this._windowMs) {
-        this._uses.delete(entry);
+        this._usageByEntry.delete(entry);
       } else {
         sum += held + spent;
       }
--- a/src/fleet/QuotaRule.ts
+++ b/src/fleet/QuotaRule.ts
@@ -1,24 +1,24 @@
-/** How the limits of a client account are applied over the fleet. */
+/** Computes the fleet-wide token limit of a client account. */
 import type { IClientAccount } from './Types.js';
 
-/** Part of the limit that is used; the rest covers reports on their way. */
-const USED_PART = 0.94;
+/** Fraction of the limit that is used; the remainder covers reports in transit. */
+const SAFETY_FACTOR = 0.94;
 
-/** Terms that a deployment sets for all client accounts. */
+/** Settings of a deployment for the limits of all client accounts. */
 export interface IQuotaTerms {
-  /** The limit holds for any span of this length. */
+  /** The limit holds in any time span of this many milliseconds. */
   readonly windowMs: number;
-  /** Part by which the limit may be exceeded. */
+  /** Fraction by which the limit may be exceeded. */
   readonly excess: number;
-  /** Tokens beyond the limit that are tolerated. */
+  /** Tokens by which the limit may be exceeded in addition. */
   readonly tolerance: number;
 }
 
 /**
- * Most tokens that a client account may spend within the window. The tolerance is used: a request that
- * the terms allow is refused only to its client's harm.
+ * Most tokens that a client account may spend within the window. Includes the excess and tolerance, since
+ * refusing a request that the terms allow would only harm its client.
  */
 export function deriveWindowLimit(account: IClientAccount, terms: IQuotaTerms): number {
   const nominal = (account.tokensPerSecond * terms.windowMs) / 1_000 + account.burstTokens;
-  return USED_PART * (nominal * (1 + terms.excess) + terms.tolerance);
+  return SAFETY_FACTOR * (nominal * (1 + terms.excess) + terms.tolerance);
 }
--- a/src/fleet/RouteTable.test.ts
+++ b/src/fleet/RouteTable.test.ts
@@ -1,4 +1,4 @@
-/** Guards against requests that take another route or account than the configuration says. */
+/** Guards against requests that get another route or client account than the configuration defines. */
 import { describe, expect, it } from 'vitest';
 import { buildAccount, buildConfiguration, buildRoute } from './Fixtures.js';
 import { RouteTable } from './RouteTable.js';
@@ -21,16 +21,16 @@
     ['/orders/7', 'orders'],
     ['/orders', 'all'],
     ['/', 'all'],
-  ])('takes the longest prefix of %s', (path, name) => {
+  ])('selects the route with the longest prefix of %s', (path, name) => {
     expect(table.findRoute('Desk.Example:8080', path)?.name).toBe(name);
   });
 
-  it('keeps hosts apart', () => {
+  it('selects only routes of the host of the request', () => {
     expect(table.findRoute('other.example', '/orders/7')?.name).toBe('other');
     expect(table.findRoute('other.example', '/stock/7')).toBeUndefined();
   });
 
-  it('finds an account by each of its keys only', () => {
+  it('finds a client account by each of its keys, and by no other key', () => {
     expect(table.findAccount('k2')?.name).toBe('pag');
     expect(table.findAccount('k3')).toBeUndefined();
   });
--- a/src/fleet/RouteTable.ts
+++ b/src/fleet/RouteTable.ts
@@ -2,7 +2,7 @@
 import type { IClientAccount, IFleetConfiguration, IRoute, IService } from './Types.js';
 
 /**
- * Index over one configuration.
+ * Index over one configuration; immutable, so a new configuration gets a new table.
  *
  * @example
  * const table = new RouteTable(configuration);
@@ -34,13 +34,13 @@
     this._services = new Map(configuration.services.map((service) => [service.name, service]));
   }
 
-  /** The route of the host with the longest prefix that begins the path. */
+  /** The host's route with the longest path prefix that matches; undefined if none matches. */
   public findRoute(host: string, path: string): IRoute | undefined {
     const routes = this._routes.get(normaliseHost(host));
     return routes?.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** True if requests on routes that are not public need a key. */
+  /** True if requests on non-public routes need a key. */
   public get needsKeys(): boolean {
     return this.configuration.clientAccounts !== undefined;
   }
--- a/src/fleet/SharedRetryBudget.test.ts
+++ b/src/fleet/SharedRetryBudget.test.ts
@@ -1,4 +1,4 @@
-/** Guards against retries that feed a collapse. */
+/** Guards against retries that multiply the load of targets that are already overloaded. */
 import { describe, expect, it } from 'vitest';
 import { SharedRetryBudget } from './SharedRetryBudget.js';
 
@@ -13,7 +13,7 @@
 }
 
 describe('SharedRetryBudget', () => {
-  it('keeps all entries together below ratio and slack', () => {
+  it('keeps the retries of all entries within ratio and slack', () => {
     const budgets = Array.from({ length: 6 }, () => new SharedRetryBudget(LIMITS));
     let spent = 0;
     for (const budget of budgets) {
@@ -26,14 +26,14 @@
     expect(spent).toBeGreaterThan(100);
   });
 
-  it('gives repeats back when the window has passed', () => {
+  it('allows retries again when the window has passed', () => {
     const budget = new SharedRetryBudget(LIMITS);
     expect(spendAll(budget, 6, 0)).toBe(7);
     expect(spendAll(budget, 6, 5_000)).toBe(0);
     expect(spendAll(budget, 6, 12_000)).toBe(7);
   });
 
-  it('keeps services apart', () => {
+  it('keeps a separate budget for each service', () => {
     const budget = new SharedRetryBudget(LIMITS);
     spendAll(budget, 6, 0);
     expect(budget.trySpend('orders', 6, 0)).toBe(true);
--- a/src/fleet/SharedRetryBudget.ts
+++ b/src/fleet/SharedRetryBudget.ts
@@ -1,27 +1,30 @@
-/** This entry's share of the fleet-wide budget for sending requests to a second target. */
+/** This entry's share of the fleet-wide budget for retries at another target. */
 
-/** Limits over all entries: repeats per window <= ratio * requests + slack. */
+/** Limit across all entries: retries per window <= ratio * requests + slack. */
 export interface IRetryLimits {
   readonly ratio: number;
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** Part of the budget that is used; the rest covers what the entries can't see of each other. */
-const USED_PART = 0.7;
+/**
+ * Fraction of the budget that is used; the remainder covers what entries don't know of each other's
+ * retries.
+ */
+const SAFETY_FACTOR = 0.7;
 
-/** The window is counted in this many slices. */
-const SLICES = 10;
+/** Number of slices in which the sliding window is counted. */
+const SLICES_PER_WINDOW = 10;
 
 interface ISlice {
   readonly startsAt: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
-/** Counts requests and repeats of each service in a sliding window. */
+/** Counts requests and retries of each service in a sliding window, and refuses retries above the budget. */
 export class SharedRetryBudget {
-  private readonly _services = new Map<string, ISlice[]>();
+  private readonly _slicesByService = new Map<string, ISlice[]>();
 
   constructor(private readonly _limits: IRetryLimits) {}
 
@@ -30,34 +33,34 @@
     this._ensureSlice(service, now).requests += 1;
   }
 
-  /** Takes one repeat from the budget; false if it is used up. */
+  /** Spends one retry; false if the budget of the window is used up. `entries` share the slack. */
   public trySpend(service: string, entries: number, now: number): boolean {
     const current = this._ensureSlice(service, now);
     let requests = 0;
-    let repeats = 0;
-    for (const slice of this._services.get(service) ?? []) {
+    let retries = 0;
+    for (const slice of this._slicesByService.get(service) ?? []) {
       requests += slice.requests;
-      repeats += slice.repeats;
+      retries += slice.retries;
     }
     const share = this._limits.slack / Math.max(1, entries);
-    if (repeats + 1 > USED_PART * (this._limits.ratio * requests + share)) {
+    if (retries + 1 > SAFETY_FACTOR * (this._limits.ratio * requests + share)) {
       return false;
     }
-    current.repeats += 1;
+    current.retries += 1;
     return true;
   }
 
   private _ensureSlice(service: string, now: number): ISlice {
-    const sliceMs = this._limits.windowMs / SLICES;
-    const kept = (this._services.get(service) ?? []).filter(
+    const sliceMs = this._limits.windowMs / SLICES_PER_WINDOW;
+    const kept = (this._slicesByService.get(service) ?? []).filter(
       (slice) => now - slice.startsAt < this._limits.windowMs + sliceMs,
     );
     let current = kept.at(-1);
     if (current === undefined || now - current.startsAt >= sliceMs) {
-      current = { startsAt: now, requests: 0, repeats: 0 };
+      current = { startsAt: now, requests: 0, retries: 0 };
       kept.push(current);
     }
-    this._services.set(service, kept);
+    this._slicesByService.set(service, kept);
     return current;
   }
 }
--- a/src/fleet/TargetOrder.ts
+++ b/src/fleet/TargetOrder.ts
@@ -1,9 +1,9 @@
-/** Order of the announcements of one target, whatever way they came. */
+/** Orders the announcements of one target, independently of the order in which they arrive. */
 import { TargetPhase, type TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 
 /**
- * True if `left` says something later than `right`: from a later start of the target, or from the same
- * start with a higher sequence. A target that was announced as gone stays gone until it starts anew.
+ * True if `left` is later than `right`: it comes from a later start of the target, or from the same start
+ * with a higher sequence. A target that was announced as gone stays gone until it restarts.
  */
 export function isLater(left: TargetRecord, right: TargetRecord): boolean {
   if (left.born !== right.born) {
@@ -15,8 +15,11 @@
   return left.sequence > right.sequence;
 }
 
-/** True if a process that knows `right` must learn `left`: more than the sequence differs. */
-export function hasNews(left: TargetRecord, right: TargetRecord): boolean {
+/**
+ * True if a process that has `right` must get `left`: start, phase, address, service, slots or weights
+ * differ.
+ */
+export function needsPropagation(left: TargetRecord, right: TargetRecord): boolean {
   return (
     left.born !== right.born ||
     left.phase !== right.phase ||
--- a/src/fleet/Types.ts
+++ b/src/fleet/Types.ts
@@ -1,55 +1,61 @@
-/** What a fleet serves and for whom, as decided by the operator. */
+/** The decoded configuration of a fleet: routes, services, limits and client accounts. */
 import type { IFailure, Result } from '../common/Result.js';
 
-/** What may be repeated on a route. */
+/**
+ * Whether requests of a route may be retried after a target may have run them; `streaming` ones answer with
+ * events.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
 
-/** A service that gets a part of a route's requests. */
+/** A service that gets a share of a route's requests, in proportion to its weight. */
 export interface IRouteShare {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Requests of one host whose path begins with a prefix. */
+/** How requests of one host with one path prefix are handled. */
 export interface IRoute {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Longest time in milliseconds that a request may be kept waiting. */
+  /** Time limit of a request in milliseconds. */
   readonly timeoutMs: number;
-  /** Time in milliseconds within which an answer has its full worth. */
+  /** Latency objective in milliseconds; a later answer is worth less. */
   readonly objectiveMs: number;
-  /** Rank; 0 is the most important. */
+  /** Priority class; 0 is the highest. */
   readonly priority: number;
   readonly shares: readonly IRouteShare[];
-  /** Most targets to which one request may be sent. */
+  /** Most attempts of one request, each at a target. */
   readonly maxAttempts: number;
-  /** True: no key is needed. */
+  /** True: requests need no key. */
   readonly isPublic: boolean;
-  /** True: a broken stream may go on at another target after its last event. */
+  /** True: a broken stream may be resumed at another target after its last event. */
   readonly isResumable: boolean;
-  /** Longest pause between events in milliseconds that is still on time; undefined where not set. */
+  /** Objective for the longest gap between two events in milliseconds; undefined if not set. */
   readonly gapObjectiveMs: number | undefined;
 }
 
-/** Engines of a service that runs language models. */
-export interface IEngineTraits {
+/** Properties of each engine of a service that runs language models. */
+export interface IEngineProperties {
+  /** Requests that an engine runs at once. */
   readonly slots: number;
-  /** Tokens that fit into an engine's memory. */
+  /** Tokens that fit into an engine's KV cache. */
   readonly cacheTokens: number;
   readonly models: readonly string[];
 }
 
-/** Targets that do the same work. */
+/** A group of interchangeable targets. */
 export interface IService {
   readonly name: string;
   /** Connections that one target accepts from all processes together. */
   readonly maxConnections: number;
   /** Undefined for plain services. */
-  readonly engine: IEngineTraits | undefined;
-  /** Address of a store of KV cache, which takes no requests; undefined for all others. */
+  readonly engine: IEngineProperties | undefined;
+  /**
+   * Address of the KV cache store, if this service is one and takes no requests; undefined for all others.
+   */
   readonly storeAddress: string | undefined;
 }
 
@@ -57,14 +63,15 @@
 export interface IClientAccount {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Takes precedence over the route's rank. */
+  /** Overrides the route's priority; undefined: the route's one applies. */
   readonly priority: number | undefined;
-  /** True: shares no cached prompt part with another client account. */
+  /** True: cached prompt parts are not shared with other client accounts. */
   readonly isIsolated: boolean;
-  /** Tokens per second; 0: no limit. */
+  /** Limit of tokens per second; 0: no limit. */
   readonly tokensPerSecond: number;
+  /** Tokens that may be spent in addition to the rate within one window. */
   readonly burstTokens: number;
-  /** Tokens of a request that doesn't say how many it needs. */
+  /** Tokens charged for a request that does not state its output limit. */
   readonly defaultTokens: number;
 }
 
@@ -76,7 +83,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A complete configuration. */
+/** A complete configuration of a fleet. */
 export interface IFleetConfiguration {
   readonly version: number;
   readonly routes: readonly IRoute[];
@@ -86,7 +93,7 @@
   readonly clientAccounts: readonly IClientAccount[] | undefined;
 }
 
-/** Decodes the operator's document; the replicated state keeps the document as it was sent. */
+/** Decodes the operator's document. The replicated state keeps the document as it was sent. */
 export type DocumentDecoder = (
   content: Uint8Array,
 ) => Result<IFleetConfiguration, IFailure<'invalid'>>;
--- a/src/fleet/WeightsHistory.ts
+++ b/src/fleet/WeightsHistory.ts
@@ -1,35 +1,39 @@
-/** Which versions of a model's weights were named, and since when they are known here. */
+/** Records which versions of a model's weights were named, and when this process learned of each. */
 
-/** Versions of one model that are kept; a version is due long before so many newer ones are named. */
-const MAX_VERSIONS = 32;
+/** A version becomes the required one long before this many newer versions are named. */
+const MAX_VERSIONS_PER_MODEL = 32;
 
-interface INamed {
+interface INamedVersion {
   readonly version: number;
-  readonly knownAt: number;
+  readonly learnedAt: number;
 }
 
+/** Keeps the last named weights versions of each model. */
 export class WeightsHistory {
-  private readonly _models = new Map<string, INamed[]>();
+  private readonly _versionsByModel = new Map<string, INamedVersion[]>();
 
-  /** True if the version is newer than all known ones. */
+  /** Records a named version; false if it is not newer than all known ones. */
   public note(model: string, version: number, now: number): boolean {
-    const named = this._models.get(model) ?? [];
-    if (version <= (named.at(-1)?.version ?? 0)) {
+    const versions = this._versionsByModel.get(model) ?? [];
+    if (version <= (versions.at(-1)?.version ?? 0)) {
       return false;
     }
-    named.push({ version, knownAt: now });
-    this._models.set(model, named.slice(-MAX_VERSIONS));
+    versions.push({ version, learnedAt: now });
+    this._versionsByModel.set(model, versions.slice(-MAX_VERSIONS_PER_MODEL));
     return true;
   }
 
   /** Newest named version; undefined if none was named. */
   public getNewest(model: string): number | undefined {
-    return this._models.get(model)?.at(-1)?.version;
+    return this._versionsByModel.get(model)?.at(-1)?.version;
   }
 
-  /** Newest version that has been known for a time: a request may no longer begin on an older one. */
-  public getDue(model: string, knownForMs: number, now: number): number {
-    const named = this._models.get(model) ?? [];
-    return named.findLast(({ knownAt }) => now - knownAt >= knownForMs)?.version ?? 0;
+  /**
+   * Newest version that has been known for at least `graceMs`; a request may no longer begin on an older one.
+   * 0 if there is none.
+   */
+  public getDue(model: string, graceMs: number, now: number): number {
+    const versions = this._versionsByModel.get(model) ?? [];
+    return versions.findLast(({ learnedAt }) => now - learnedAt >= graceMs)?.version ?? 0;
   }
 }
--- a/src/fleet/WeightsRollout.test.ts
+++ b/src/fleet/WeightsRollout.test.ts
@@ -1,4 +1,4 @@
-/** Guards against engines that keep old weights for ever, and against loads of too many at once. */
+/** Guards against engines that never get the named weights, and against too many loads at once. */
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { SILENT_LOG } from '../common/Log.js';
 import { TargetPhase } from '../gen/redwingwharf/v1/fleet_pb.js';
@@ -8,12 +8,12 @@
 
 const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
 const CLOCK = { now: () => Date.now() };
-const LOAD_MS = 800;
+const LOAD_DURATION_MS = 800;
 
-/** Engines that take new weights some time after an order. */
-class Engines implements IEngineOrders {
+/** Engines that hold the ordered weights `LOAD_DURATION_MS` after an order. */
+class FakeEngines implements IEngineOrders {
   public readonly versions = new Map<string, number>();
-  public most = 0;
+  public maxConcurrentLoads = 0;
   private readonly _busy = new Set<string>();
 
   public fetchReport({ id }: { id: string }): ReturnType<IEngineOrders['fetchReport']> {
@@ -29,22 +29,22 @@
     { version }: { version: number },
   ): ReturnType<IEngineOrders['sendOrder']> {
     this._busy.add(id);
-    this.most = Math.max(this.most, this._busy.size);
+    this.maxConcurrentLoads = Math.max(this.maxConcurrentLoads, this._busy.size);
     setTimeout(() => {
       this._busy.delete(id);
       this.versions.set(id, version);
-    }, LOAD_MS);
+    }, LOAD_DURATION_MS);
     return Promise.resolve('accepted');
   }
 }
 
-interface IStarted {
+interface IStartedRollout {
   readonly hub: FleetHub;
-  readonly engines: Engines;
+  readonly engines: FakeEngines;
   readonly stop: AbortController;
 }
 
-function startRollout(count: number): IStarted {
+function startRollout(count: number): IStartedRollout {
   const hub = new FleetHub(
     'e1',
     { announceMs: 1_200, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
@@ -53,7 +53,7 @@
   for (let i = 0; i < count; i += 1) {
     hub.announce(buildTarget({ id: `i-${i}`, address: `10.1.0.${i}:8000` }), Date.now());
   }
-  const engines = new Engines();
+  const engines = new FakeEngines();
   const stop = new AbortController();
   const rollout = new WeightsRollout(
     {
@@ -71,7 +71,7 @@
   return { hub, engines, stop };
 }
 
-function listOld(hub: FleetHub): string[] {
+function listOutdated(hub: FleetHub): string[] {
   return hub
     .listTargets()
     .filter(({ phase, models }) => phase === TargetPhase.READY && models[0]?.version === 1n)
@@ -87,15 +87,15 @@
     vi.useRealTimers();
   });
 
-  it('brings all engines to the named weights, a few at once', async () => {
+  it('loads the named weights on all engines, two at a time', async () => {
     const { hub, engines, stop } = startRollout(8);
     await vi.advanceTimersByTimeAsync(20_000);
     stop.abort();
-    expect(listOld(hub)).toEqual([]);
-    expect(engines.most).toBe(2);
+    expect(listOutdated(hub)).toEqual([]);
+    expect(engines.maxConcurrentLoads).toBe(2);
   });
 
-  it('goes on when engines crash while they are getting ready', async () => {
+  it('continues when engines crash while they are being prepared', async () => {
     const { hub, stop } = startRollout(20);
     for (let round = 0; round < 4; round += 1) {
       await vi.advanceTimersByTimeAsync(200);
@@ -109,6 +109,6 @@
     await vi.advanceTimersByTimeAsync(30_000);
     stop.abort();
     expect(hub.listTargets().some(({ phase }) => phase === TargetPhase.READY)).toBe(true);
-    expect(listOld(hub)).toEqual([]);
+    expect(listOutdated(hub)).toEqual([]);
   });
 });
--- a/src/fleet/WeightsRollout.ts
+++ b/src/fleet/WeightsRollout.ts
@@ -1,4 +1,4 @@
-/** Brings every engine to the newest named weights. Runs on the leader only. */
+/** Loads the newest named weights on every engine; acts on the leader only. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
@@ -6,101 +6,114 @@
 import { getHeldVersion } from './HeldWeights.js';
 import type { FleetHub } from './FleetHub.js';
 
-/** Between two looks at what is to be done. */
-const STEP_MS = 100;
+/** Interval at which the engines' weights are compared with the named ones. */
+const RECONCILE_INTERVAL_MS = 100;
 
 /**
- * Time between the mark that an engine is loading and the order, so that the entries stop sending first.
- * An exchange takes this long at most in steady state.
+ * Time between marking an engine as loading and the order, so that entries stop sending requests before it.
+ * In steady state every entry exchanges with the hub within this time.
  */
-const ANNOUNCE_AHEAD_MS = 200;
+const ORDER_DELAY_MS = 200;
 
-/** Between two questions to an engine that is loading. */
-const POLL_MS = 150;
+/** Interval at which a loading engine is asked for its report. */
+const LOAD_POLL_INTERVAL_MS = 150;
 
-/** An engine that has not loaded by then is asked anew. */
-const LOAD_LIMIT_MS = 8_000;
+/** Time after which a load counts as failed; the engine is ordered again after a cooldown. */
+const LOAD_TIMEOUT_MS = 8_000;
 
-/** Limit of one call to an engine. */
-const CALL_LIMIT_MS = 1_000;
+/** Timeout of one call to an engine. */
+const CALL_TIMEOUT_MS = 1_000;
 
-/** Pause after a failed order, so that a broken engine does not take a place for itself. */
-const FAILED_REST_MS = 1_500;
+/** Cooldown of an engine after a failed load, so that a broken one does not block the loads of others. */
+const FAILURE_COOLDOWN_MS = 1_500;
 
 /**
- * Engines that load at once: a part of the service, at least two; more make each load slower. As many
- * again get ready for it.
+ * Fraction of a model's engines that load at once, and their least number. More loads in parallel make each
+ * slower. About as many engines again are prepared meanwhile.
  */
-const AT_ONCE_PART = 0.25;
-const AT_ONCE_MIN = 2;
+const PARALLEL_LOADS_FRACTION = 0.25;
+const MIN_PARALLEL_LOADS = 2;
 
 /**
- * An engine gets no long streams before it loads, until those that it has have ended: the load waits for
- * all runs. These are the shortest time, in which every process learns of it, and the longest.
+ * Shortest and longest preparation of an engine. While it is prepared, it gets no new long streams and its
+ * existing ones end, as a load waits for all running requests. Within the shortest time every process learns
+ * of the preparation.
  */
-const PREPARE_MIN_MS = 400;
-const PREPARE_MAX_MS = 4_000;
+const MIN_PREPARE_MS = 400;
+const MAX_PREPARE_MS = 4_000;
 
-/** What an engine reports of itself. */
+/** An engine's report of its own state. */
 export interface IEngineReport {
   readonly isBusy: boolean;
-  /** Orders accepted since its start. */
+  /** Number of orders that the engine accepted since its start. */
   readonly sequence: number;
   readonly versions: ReadonlyMap<string, number>;
 }
 
+/** Order to an engine to load a version of a model's weights. */
 export interface IWeightsOrder {
   readonly model: string;
   readonly version: number;
   readonly holder: string;
+  /** Fencing token: a target that has seen a higher one refuses the order. */
   readonly fence: number;
-  /** Sequence that the engine must still have when it carries the order out. */
+  /** Sequence that the engine must still have when it executes the order. */
   readonly expectedSequence: number;
 }
 
 export type OrderOutcome = 'accepted' | 'done' | 'busy' | 'fenced' | 'refused' | 'other_target';
 
-/** Calls to the engines. A call without an answer rejects. */
+/** Calls to the engines. A call that gets no answer rejects. */
 export interface IEngineOrders {
   fetchReport(target: TargetRecord, signal: AbortSignal): Promise<IEngineReport>;
   sendOrder(target: TargetRecord, order: IWeightsOrder, signal: AbortSignal): Promise<OrderOutcome>;
 }
 
 export interface IRolloutOptions {
-  /** Name of this process as holder of orders. */
+  /** Name of this process, sent with its orders. */
   readonly holder: string;
-  /** Holders that follow each other within this time count as taking turns. */
+  /**
+   * Orders of two holders within this time count as alternating, so a new leader waits this long before its
+   * first order. In milliseconds.
+   */
   readonly leaseMs: number;
 }
 
-/** The leader's part in the fleet. */
+/** What the rollout needs from the leading process. */
 export interface IRolloutLeader {
+  /** Undefined while this process does not lead. */
   getHub(now: number): FleetHub | undefined;
-  /** Term of the log; each has one leader at most, so it serves as fencing token. */
+  /** Term of the replicated log. A term has at most one leader, so it serves as fencing token. */
   readonly term: number;
-  /** Version below which no request may begin any more. */
+  /** Oldest version that a new request may still begin on. */
   getDueVersion(model: string, now: number): number;
   readonly weights: readonly { readonly model: string; readonly version: bigint }[];
 }
 
-/** One engine that is to load weights, and the hub that is told of it. */
-interface ILoad {
+/** A load of weights on one engine, and the hub that propagates its state. */
+interface ILoadTask {
   readonly target: TargetRecord;
   readonly model: string;
   readonly version: number;
   readonly hub: FleetHub;
 }
 
+/**
+ * Prepares engines with outdated weights and orders them to load the named ones, a limited number at once.
+ * Engines that hold the oldest weights come first.
+ */
 export class WeightsRollout {
-  /** Engines that load, and those that get ready with the time since when. */
+  /** Running loads by target. */
   private readonly _loading = new Map<string, Promise<void>>();
+  /** Start of the preparation, by target. */
   private readonly _preparing = new Map<string, number>();
-  private readonly _restUntil = new Map<string, number>();
-  private _leading: { readonly term: number; readonly since: number } | undefined;
+  /** End of the cooldown after a failed load, by target. */
+  private readonly _cooldownUntil = new Map<string, number>();
+  private _leadership: { readonly term: number; readonly since: number } | undefined;
 
   constructor(
     private readonly _leader: IRolloutLeader,
-    private readonly _orders: IEngineOrders,
+    private readonly _engines: IEngineOrders,
     private readonly _options: IRolloutOptions,
     private readonly _clock: IClock,
     private readonly _log: ILog,
@@ -109,7 +122,7 @@
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       this._startLoads(this._clock.now(), signal);
-      await sleep(STEP_MS, signal);
+      await sleep(RECONCILE_INTERVAL_MS, signal);
     }
     await Promise.all(this._loading.values());
   }
@@ -117,40 +130,40 @@
   private _startLoads(now: number, signal: AbortSignal): void {
     const hub = this._leader.getHub(now);
     if (hub === undefined) {
-      this._leading = undefined;
+      this._leadership = undefined;
       this._preparing.clear();
       return;
     }
     const { term } = this._leader;
-    if (this._leading?.term !== term) {
-      this._leading = { term, since: now };
+    if (this._leadership?.term !== term) {
+      this._leadership = { term, since: now };
     }
-    // The holder before may have sent an order just before it lost the lead.
-    if (term > 1 && now - this._leading.since < this._options.leaseMs) {
+    // The former leader may have sent an order just before it lost its leadership.
+    if (term > 1 && now - this._leadership.since < this._options.leaseMs) {
       return;
     }
     const targets = hub.listTargets();
-    this._dropPrepared(hub, targets);
+    this._cancelPreparations(hub, targets);
     for (const { model, version } of this._leader.weights) {
-      this._startLoadsOf(model, Number(version), hub, targets, signal);
+      this._startModelLoads(model, Number(version), hub, targets, signal);
     }
   }
 
-  /** Gives the places of engines back that left, or got their weights, while they were getting ready. */
-  private _dropPrepared(hub: FleetHub, targets: readonly TargetRecord[]): void {
+  /** Cancels the preparation of engines that became unavailable, or got their weights, meanwhile. */
+  private _cancelPreparations(hub: FleetHub, targets: readonly TargetRecord[]): void {
     const needsLoad = (target: TargetRecord): boolean =>
       this._leader.weights.some(
         ({ model, version }) =>
           isLoadable(target, model) && getVersion(target, model) < Number(version),
       );
-    const waiting = new Set(targets.filter(needsLoad).map(({ id }) => id));
-    for (const id of [...this._preparing.keys()].filter((prepared) => !waiting.has(prepared))) {
+    const needingLoad = new Set(targets.filter(needsLoad).map(({ id }) => id));
+    for (const id of [...this._preparing.keys()].filter((prepared) => !needingLoad.has(prepared))) {
       this._preparing.delete(id);
       hub.setLoadState(id, 'none');
     }
   }
 
-  private _startLoadsOf(
+  private _startModelLoads(
     model: string,
     version: number,
     hub: FleetHub,
@@ -158,54 +171,66 @@
     signal: AbortSignal,
   ): void {
     const now = this._clock.now();
-    // The oldest weights first, so that no engine is passed over by newer and newer versions.
-    const holders = targets
+    // Oldest weights first, so that no engine starves when versions are named in quick succession.
+    const candidates = targets
       .filter((target) => isLoadable(target, model))
       .sort((left, right) => getVersion(left, model) - getVersion(right, model));
-    // Engines whose weights may no longer begin a request are out anyway; each gets a place.
-    const due = this._leader.getDueVersion(model, now);
-    const idle = holders.filter((target) => getVersion(target, model) < due).length;
-    const places = Math.max(AT_ONCE_MIN, Math.floor(holders.length * AT_ONCE_PART), idle);
-    for (const target of holders) {
-      const isDue =
+    // Engines with weights that no request may begin on are out of service anyway, so they may all load at
+    // once.
+    const requiredVersion = this._leader.getDueVersion(model, now);
+    const unusable = candidates.filter(
+      (target) => getVersion(target, model) < requiredVersion,
+    ).length;
+    const maxParallelLoads = Math.max(
+      MIN_PARALLEL_LOADS,
+      Math.floor(candidates.length * PARALLEL_LOADS_FRACTION),
+      unusable,
+    );
+    for (const target of candidates) {
+      const mayLoad =
         getVersion(target, model) < version &&
         !this._loading.has(target.id) &&
-        now >= (this._restUntil.get(target.id) ?? 0);
-      if (isDue) {
-        this._advance({ target, model, version, hub }, places, signal);
+        now >= (this._cooldownUntil.get(target.id) ?? 0);
+      if (mayLoad) {
+        this._advanceLoad({ target, model, version, hub }, maxParallelLoads, signal);
       }
     }
   }
 
-  /** Begins to prepare an engine, or its load once it is prepared, as far as there are places. */
-  private _advance(load: ILoad, places: number, signal: AbortSignal): void {
+  /**
+   * Starts an engine's preparation, or its load once it is prepared, if fewer than the allowed number run.
+   */
+  private _advanceLoad(load: ILoadTask, maxParallelLoads: number, signal: AbortSignal): void {
     const { target, hub } = load;
     const now = this._clock.now();
-    const preparedSince = this._preparing.get(target.id);
-    if (preparedSince === undefined) {
-      if (this._preparing.size <= places) {
+    const preparingSince = this._preparing.get(target.id);
+    if (preparingSince === undefined) {
+      if (this._preparing.size <= maxParallelLoads) {
         this._preparing.set(target.id, now);
         hub.setLoadState(target.id, 'preparing');
       }
-    } else if (this._isPrepared(target, hub, now - preparedSince) && this._loading.size < places) {
+    } else if (
+      this._isPrepared(target, hub, now - preparingSince) &&
+      this._loading.size < maxParallelLoads
+    ) {
       this._preparing.delete(target.id);
       this._loading.set(target.id, this._runLoad(load, signal));
     }
   }
 
-  private _isPrepared(target: TargetRecord, hub: FleetHub, preparedMs: number): boolean {
-    if (preparedMs >= PREPARE_MAX_MS) {
+  private _isPrepared(target: TargetRecord, hub: FleetHub, preparingMs: number): boolean {
+    if (preparingMs >= MAX_PREPARE_MS) {
       return true;
     }
-    return preparedMs >= PREPARE_MIN_MS && hub.countLongStreams(target.id) === 0;
+    return preparingMs >= MIN_PREPARE_MS && hub.countLongStreams(target.id) === 0;
   }
 
-  private async _runLoad(load: ILoad, signal: AbortSignal): Promise<void> {
+  private async _runLoad(load: ILoadTask, signal: AbortSignal): Promise<void> {
     const { target, model, version, hub } = load;
     try {
       await this._load(load, signal);
     } catch (error) {
-      this._restUntil.set(target.id, this._clock.now() + FAILED_REST_MS);
+      this._cooldownUntil.set(target.id, this._clock.now() + FAILURE_COOLDOWN_MS);
       this._log.warn('weights order failed', {
         target: target.id,
         model,
@@ -218,15 +243,15 @@
     }
   }
 
-  private async _load(load: ILoad, signal: AbortSignal): Promise<void> {
+  private async _load(load: ILoadTask, signal: AbortSignal): Promise<void> {
     const { target, model, version, hub } = load;
     hub.setLoadState(target.id, 'loading');
-    const [before] = await Promise.all([
-      this._report(target, signal),
-      sleep(ANNOUNCE_AHEAD_MS, signal),
+    const [initialReport] = await Promise.all([
+      this._fetchReport(target, signal),
+      sleep(ORDER_DELAY_MS, signal),
     ]);
-    if ((before.versions.get(model) ?? 0) >= version) {
-      hub.setWeights(target.id, target.born, model, before.versions.get(model) ?? version);
+    if ((initialReport.versions.get(model) ?? 0) >= version) {
+      hub.setWeights(target.id, target.born, model, initialReport.versions.get(model) ?? version);
       return;
     }
     const fence = this._leader.term;
@@ -239,23 +264,23 @@
       version,
       holder: this._options.holder,
       fence,
-      expectedSequence: before.sequence,
+      expectedSequence: initialReport.sequence,
     };
-    const outcome = await runWithLimit(signal, CALL_LIMIT_MS, (limited) =>
-      this._orders.sendOrder(target, order, limited),
+    const outcome = await runWithLimit(signal, CALL_TIMEOUT_MS, (limited) =>
+      this._engines.sendOrder(target, order, limited),
     );
     this._log.info('weights ordered', {
       target: target.id,
       model,
       version,
       fence,
-      sequence: before.sequence,
+      sequence: initialReport.sequence,
       outcome,
     });
     if (outcome === 'done') {
       hub.setWeights(target.id, target.born, model, version);
     } else if (outcome === 'accepted') {
-      await this._waitLoaded(load, signal);
+      await this._waitUntilLoaded(load, signal);
     } else {
       throw new Error(`the engine answered ${outcome}`);
     }
@@ -267,14 +292,14 @@
     });
   }
 
-  private async _waitLoaded(
-    { target, model, version, hub }: ILoad,
+  private async _waitUntilLoaded(
+    { target, model, version, hub }: ILoadTask,
     signal: AbortSignal,
   ): Promise<void> {
-    const giveUpAt = this._clock.now() + LOAD_LIMIT_MS;
-    while (!isAborted(signal) && this._clock.now() < giveUpAt) {
-      await sleep(POLL_MS, signal);
-      const report = await this._report(target, signal);
+    const deadline = this._clock.now() + LOAD_TIMEOUT_MS;
+    while (!isAborted(signal) && this._clock.now() < deadline) {
+      await sleep(LOAD_POLL_INTERVAL_MS, signal);
+      const report = await this._fetchReport(target, signal);
       const held = report.versions.get(model) ?? 0;
       if (held >= version && !report.isBusy) {
         hub.setWeights(target.id, target.born, model, held);
@@ -284,9 +309,9 @@
     throw new Error('the engine did not load in time');
   }
 
-  private _report(target: TargetRecord, signal: AbortSignal): Promise<IEngineReport> {
-    return runWithLimit(signal, CALL_LIMIT_MS, (limited) =>
-      this._orders.fetchReport(target, limited),
+  private _fetchReport(target: TargetRecord, signal: AbortSignal): Promise<IEngineReport> {
+    return runWithLimit(signal, CALL_TIMEOUT_MS, (limited) =>
+      this._engines.fetchReport(target, limited),
     );
   }
 }
