--- a/src/roster/Roster.test.ts
+++ b/src/roster/Roster.test.ts
@@ -1,3 +1,4 @@
+/** Guards against new requests to targets that are silent, draining or failed. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import { AnnounceRequestSchema } from '../gen/redwingwharf/v1/control_pb.js';
@@ -20,14 +21,14 @@
 }
 
 describe('Roster', () => {
-  it('gives a silent target no new work after the expiry', () => {
+  it('does not list a silent target after the expiry', () => {
     const roster = new Roster();
     announce(roster, 0);
     expect(roster.listTargets('order-desk', TARGET_EXPIRY_MS)).toHaveLength(1);
     expect(roster.listTargets('order-desk', TARGET_EXPIRY_MS + 1)).toHaveLength(0);
   });
 
-  it('gives a draining or failed target no new work at once', () => {
+  it('stops listing a draining or failed target at once', () => {
     const roster = new Roster();
     announce(roster, 0);
     announce(roster, 1, { sequence: 2n, draining: true });
@@ -36,14 +37,14 @@
     expect(roster.listTargets('order-desk', 4)).toHaveLength(0);
   });
 
-  it('ignores an announcement that was overtaken, so that a draining target does not return', () => {
+  it('ignores an announcement that arrives late, so that a draining target is not listed again', () => {
     const roster = new Roster();
     announce(roster, 0, { sequence: 5n, draining: true });
     announce(roster, 1, { sequence: 4n });
     expect(roster.listTargets('order-desk', 2)).toHaveLength(0);
   });
 
-  it('takes the announcement of a new sidecar life', () => {
+  it('accepts an announcement of a new sidecar incarnation with a lower sequence', () => {
     const roster = new Roster();
     announce(roster, 0, { sequence: 50n, draining: true });
     announce(roster, 1, { sidecarIncarnation: new Uint8Array([2]) });
--- a/src/roster/Roster.ts
+++ b/src/roster/Roster.ts
@@ -1,25 +1,28 @@
-/** The targets that announced themselves to this entry. */
+/** Keeps track of the targets that announce themselves to this entry. */
 import type { AnnounceRequest } from '../gen/redwingwharf/v1/control_pb.js';
 import { Emitter } from '../common/Lifecycle.js';
 import { encodeHex } from '../common/Hashes.js';
 
-/** A target without an announcement for this long is dropped: four announcements were missed. */
+/** A target expires when it has not announced itself for this long, which is four missed announcements. */
 export const TARGET_EXPIRY_MS = 2_000;
 
 /** A target as its last announcement described it. */
 export interface IRosterTarget {
   readonly announcement: AnnounceRequest;
+  /** In hexadecimal. */
   readonly sidecarIncarnation: string;
+  /** Arrival of the announcement in milliseconds of this entry's monotonic clock. */
   readonly announcedAt: number;
 }
 
-/** What became of a target; the policy drops evidence by it. */
+/** Change of a target's record; the policy discards its evidence about the target accordingly. */
 export type RosterChange =
   | { readonly kind: 'announced'; readonly target: IRosterTarget }
   | { readonly kind: 'expired'; readonly target: IRosterTarget };
 
 /**
- * Keeps the last announcement of each target for `TARGET_EXPIRY_MS`.
+ * Stores the last announcement of each target and expires it after `TARGET_EXPIRY_MS`. Expired targets are
+ * removed by the next call that reads the roster.
  *
  * @example
  * roster.announce(request, clock.now());
@@ -31,13 +34,15 @@
 
   public readonly onChange = this._changeEmitter.onFire;
 
-  /** Records an announcement. One of an earlier sidecar life or out of order is ignored. */
+  /**
+   * Records an announcement; ignored if it is not newer than the last one of the same sidecar incarnation.
+   */
   public announce(announcement: AnnounceRequest, now: number): void {
-    const known = this._targets.get(announcement.target);
+    const existing = this._targets.get(announcement.target);
     const sidecarIncarnation = encodeHex(announcement.sidecarIncarnation);
     if (
-      known?.sidecarIncarnation === sidecarIncarnation &&
-      announcement.sequence <= known.announcement.sequence
+      existing?.sidecarIncarnation === sidecarIncarnation &&
+      announcement.sequence <= existing.announcement.sequence
     ) {
       return;
     }
@@ -46,7 +51,7 @@
     this._changeEmitter.fire({ kind: 'announced', target });
   }
 
-  /** Targets of a service that may get new work now. */
+  /** Targets of a service that may get new requests: healthy, not draining and not expired. */
   public listTargets(service: string, now: number): IRosterTarget[] {
     return this.listAll(now).filter(
       ({ announcement }) =>
