--- a/src/feed/FeedClient.test.ts
+++ b/src/feed/FeedClient.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against a copy of the configuration that stays out of date because of the server that it syncs
+ * with.
+ */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import { describe, expect, it, vi } from 'vitest';
 import { createLog } from '../common/Log.js';
@@ -29,17 +33,17 @@
 }
 
 describe('FeedClient', () => {
-  it('guards against a restarted leader that follows its own old copy for good', async () => {
+  it('does not sync with its own outdated copy forever after a restart of the former leader', async () => {
     const copy = new FeedCopy();
     const clock = { now: () => 10_000 };
     const clients = createClients({
-      // The restarted process itself: it serves its copy.
+      // The restarted process itself, which serves its own copy.
       own: (request) => copy.sync(request, clock.now()),
-      // Has not heard of the failover yet, so it names the restarted process as leader.
+      // Has not learned of the failover yet, so it reports the restarted process as leader.
       lagging: answerWith({ revision: 5n, ageMs: 2_000, leaderAddress: 'own' }),
       leader: answerWith({ revision: 6n, ageMs: 0, leaderAddress: 'leader' }),
     });
-    // The first pick is the lagging server; later picks take turns.
+    // The first server picked is the lagging one; later picks alternate.
     const random = vi.fn(() => 0.99).mockReturnValueOnce(0.5);
     const log = createLog('test', 'error', () => undefined);
     const servers = ['own', 'lagging', 'leader'];
@@ -51,7 +55,7 @@
     expect(copy.getConfirmedAt()).toBe(10_000);
   });
 
-  it('guards against staying with a follower when the leader is known', async () => {
+  it('switches from a follower to the leader that the follower reports', async () => {
     const copy = new FeedCopy();
     const follower = vi.fn(answerWith({ revision: 6n, ageMs: 400, leaderAddress: 'leader' }));
     const leader = vi.fn(answerWith({ revision: 6n, ageMs: 0, leaderAddress: 'leader' }));
@@ -75,7 +79,7 @@
     expect(leader).toHaveBeenCalledTimes(3);
   });
 
-  it('guards against reporting a server that has no copy yet as foreign', () => {
+  it('does not report a server without a copy as one of another deployment', () => {
     const copy = new FeedCopy();
     copy.applyResponse(
       create(SyncResponseSchema, { clusterId: new Uint8Array([1]), revision: 5n }),
--- a/src/feed/FeedClient.ts
+++ b/src/feed/FeedClient.ts
@@ -1,4 +1,4 @@
-/** Task that keeps a copy of the items in step with another process. */
+/** Keeps a copy of the configuration items in sync with a feed server. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
@@ -6,25 +6,29 @@
 import { FeedService } from '../gen/redwingwharf/v1/control_pb.js';
 import type { FeedCopy } from './FeedCopy.js';
 
-/** Interval of sync requests. Three hops of it stay below the 4 s in which a change is in force. */
+/** Interval of sync requests. Three hops take less than the 4 s within which a change must be in force. */
 export const SYNC_INTERVAL_MS = 500;
 
-/** Time after which an unanswered request is given up and another server is asked. */
+/** Timeout of a sync request, after which another server is used. */
 const SYNC_TIMEOUT_MS = 700;
 
-/** A server whose own confirmation is older than this is left for another one. */
-const MAX_SERVER_AGE_MS = 1_000;
+/** A server lags if its copy was last confirmed longer ago than this; another server is used then. */
+const MAX_SERVER_CONFIRMATION_AGE_MS = 1_000;
 
-/** Polls one server of a list and moves to another when it fails or lags. */
+/**
+ * Polls one server of a list; switches to another one when it fails or lags, and to the leader when
+ * reported.
+ */
 export class FeedClient {
   private _server: string;
-  private _running: Promise<void> | undefined;
+  private _pendingSync: Promise<void> | undefined;
 
   constructor(
     private readonly _copy: FeedCopy,
     private readonly _servers: readonly string[],
+    /** Instance name of this process, sent with each request. */
     private readonly _instance: string,
-    /** Keys to copy; all of them when empty. */
+    /** Prefixes of the keys to copy; all keys if empty. */
     private readonly _prefixes: readonly string[],
     private readonly _clients: RpcClients,
     private readonly _clock: IClock,
@@ -46,12 +50,12 @@
     );
   }
 
-  /** Syncs now. Concurrent callers share one request. */
+  /** Sends one sync request; concurrent callers share it. Rejects if it fails. */
   public async syncOnce(signal: AbortSignal): Promise<void> {
-    this._running ??= this._sync(signal).finally(() => {
-      this._running = undefined;
+    this._pendingSync ??= this._sync(signal).finally(() => {
+      this._pendingSync = undefined;
     });
-    await this._running;
+    await this._pendingSync;
   }
 
   private async _sync(signal: AbortSignal): Promise<void> {
@@ -68,9 +72,10 @@
         { signal, timeoutMs: SYNC_TIMEOUT_MS },
       );
       const outcome = this._copy.applyResponse(response, sentAt);
-      const isLagging = response.ageMs === undefined || response.ageMs > MAX_SERVER_AGE_MS;
+      const isLagging =
+        response.ageMs === undefined || response.ageMs > MAX_SERVER_CONFIRMATION_AGE_MS;
       if (outcome !== 'applied' || isLagging) {
-        // What a lagging server takes for the leader may be a former one, even this process.
+        // The leader that a lagging server reports may be a former one, even this process.
         this._server = this._pickServer();
       } else {
         this._followLeader(response.leaderAddress);
@@ -86,7 +91,7 @@
     }
   }
 
-  /** The leader's own answer is the freshest; it is used when the settings list it. */
+  /** Switches to the leader, whose answers are the most recent, if it is one of the configured servers. */
   private _followLeader(leaderAddress: string): void {
     if (this._servers.includes(leaderAddress)) {
       this._server = leaderAddress;
@@ -95,7 +100,7 @@
 
   private _pickServer(): string {
     const others = this._servers.filter((server) => server !== this._server);
-    const choices = others.length > 0 ? others : this._servers;
-    return choices[Math.floor(this._random() * choices.length)] ?? '';
+    const candidates = others.length > 0 ? others : this._servers;
+    return candidates[Math.floor(this._random() * candidates.length)] ?? '';
   }
 }
--- a/src/feed/FeedCopy.test.ts
+++ b/src/feed/FeedCopy.test.ts
@@ -1,3 +1,4 @@
+/** Guards against copies of the configuration that revert, miss deletions or appear newer than they are. */
 import { create } from '@bufbuild/protobuf';
 import { describe, expect, it } from 'vitest';
 import {
@@ -34,7 +35,7 @@
 }
 
 describe('FeedCopy', () => {
-  it('ignores a late response of an older revision, so that a withdrawn key does not come back', () => {
+  it('ignores a late response of an older revision, so that a withdrawn key is not restored', () => {
     const copy = new FeedCopy();
     copy.applyResponse(createResponse(5, [createItem('key/a', 5)], { full: true }), 0);
     copy.applyResponse(createResponse(9, [createItem('key/a', 9, true)]), 10);
@@ -52,7 +53,7 @@
     expect(copy.getItem('key/a')).toBeDefined();
   });
 
-  it('counts the age from the time the request was sent, so that a delayed answer looks old', () => {
+  it('counts the age from when the request was sent, so that a delayed answer counts as old', () => {
     const copy = new FeedCopy();
     copy.applyResponse(createResponse(1, [], { full: true, ageMs: 40 }), 1_000);
     expect(copy.getConfirmedAt()).toBe(960);
@@ -60,7 +61,7 @@
     expect(copy.getConfirmedAt()).toBe(960);
   });
 
-  it('passes deletions on to a follower that has the deleted item', () => {
+  it('propagates a deletion to a follower that has the deleted item', () => {
     const upstream = new FeedCopy();
     const follower = new FeedCopy();
     const items = [createItem('key/a', 3), createItem('key/b', 4)];
@@ -76,7 +77,7 @@
     expect(follower.getItem('key/b')).toBeDefined();
   });
 
-  it('passes a change on to a follower whose revision moved on without changes', () => {
+  it('propagates a change to a follower whose revision grew without changes', () => {
     const upstream = new FeedCopy();
     upstream.applyResponse(createResponse(4, [createItem('key/a', 4)], { full: true }), 0);
     upstream.applyResponse(createResponse(50, []), 10);
@@ -86,7 +87,7 @@
     expect(upstream.sync(request, 40).items.map((item) => item.deleted)).toEqual([true]);
   });
 
-  it('gives a sidecar no keys', () => {
+  it('serves only items with the requested prefixes, so that a sidecar gets no keys', () => {
     const upstream = new FeedCopy();
     const items = [createItem('key/a', 3), createItem('clientAccount/b', 4)];
     upstream.applyResponse(createResponse(4, items, { full: true }), 0);
@@ -94,7 +95,7 @@
     expect(upstream.sync(request, 10).items.map((item) => item.key)).toEqual(['clientAccount/b']);
   });
 
-  it('reports items that a full copy no longer holds as deleted', () => {
+  it('reports items that are missing in a full response as deleted', () => {
     const copy = new FeedCopy();
     copy.applyResponse(createResponse(4, [createItem('key/a', 4)], { full: true }), 0);
     const deleted: string[] = [];
--- a/src/feed/FeedCopy.ts
+++ b/src/feed/FeedCopy.ts
@@ -1,4 +1,4 @@
-/** A copy of the configuration items that never goes back to an older revision. */
+/** A copy of the configuration items whose revision never decreases. */
 import { create } from '@bufbuild/protobuf';
 import { Emitter } from '../common/Lifecycle.js';
 import { hasSameBytes } from '../common/Hashes.js';
@@ -11,14 +11,14 @@
 import type { Item } from '../gen/redwingwharf/v1/state_pb.js';
 import type { IFeed, IFeedSource } from './Types.js';
 
-/** Deleted items kept so that followers of this copy learn of the deletion. */
+/** Tombstones of deleted items are kept so that followers of this copy learn of the deletions. */
 const MAX_TOMBSTONES = 10_000;
 
-/** What became of a sync response. */
+/** Result of a sync response: applied, of an older revision, or of another deployment. */
 export type ApplyOutcome = 'applied' | 'behind' | 'other_cluster';
 
 /**
- * Holds the items of the last applied response and serves them on.
+ * Holds the items of the applied sync responses and serves them to other processes.
  *
  * @example
  * const copy = new FeedCopy();
@@ -30,14 +30,14 @@
   private readonly _tombstones = new Map<string, Item>();
   private readonly _changeEmitter = new Emitter<readonly Item[]>();
   private _revision = 0;
-  /** Revision of the last changed item. The revision of the copy also grows without a change. */
-  private _changedRevision = 0;
+  /** Revision of the last item change. `_revision` also grows without item changes. */
+  private _lastChangeRevision = 0;
   private _version = 0;
   private _confirmedAt: number | undefined;
   private _clusterId: Uint8Array = new Uint8Array();
   private _leaderAddress = '';
-  /** Deltas can be served to readers at or above this revision. */
-  private _deltasSince = 0;
+  /** Readers at or above this revision can get a delta; those below it need a full copy. */
+  private _minDeltaRevision = 0;
 
   public readonly onChange = this._changeEmitter.onFire;
 
@@ -72,11 +72,11 @@
 
   /**
    * Applies a response to a request that this process sent at `requestSentAt`. A response with a
-   * lower revision is ignored, so that a late or lagging server cannot bring older items back.
+   * lower revision is ignored, so that a late or lagging server cannot restore older items.
    */
   public applyResponse(response: SyncResponse, requestSentAt: number): ApplyOutcome {
     if (this._clusterId.length > 0 && !hasSameBytes(this._clusterId, response.clusterId)) {
-      // A server that has not synced yet knows no cluster.
+      // A server that has not synced yet does not know its cluster id.
       return response.clusterId.length === 0 ? 'behind' : 'other_cluster';
     }
     const revision = Number(response.revision);
@@ -101,7 +101,7 @@
 
   public sync(request: SyncRequest, arrivedAt: number): SyncResponse {
     const haveRevision = Number(request.haveRevision);
-    const isFull = haveRevision < this._deltasSince || haveRevision === 0;
+    const isFull = haveRevision < this._minDeltaRevision || haveRevision === 0;
     const changed = isFull ? [...this._items.values()] : this._listChangedSince(haveRevision);
     const items = filterItems(changed, request.prefixes);
     const response = create(SyncResponseSchema, {
@@ -118,9 +118,9 @@
     return response;
   }
 
-  /** Most polls find nothing new and must not cost more with more items. */
+  /** Items and tombstones changed after a revision. Most polls find none, so these don't scan the items. */
   private _listChangedSince(revision: number): Item[] {
-    if (revision >= this._changedRevision) {
+    if (revision >= this._lastChangeRevision) {
       return [];
     }
     return [...this._items.values(), ...this._tombstones.values()].filter(
@@ -131,7 +131,7 @@
   private _mergeItems(items: readonly Item[]): Item[] {
     const changed = items.filter((item) => this._isNewer(item));
     for (const item of changed) {
-      this._changedRevision = Math.max(this._changedRevision, Number(item.revision));
+      this._lastChangeRevision = Math.max(this._lastChangeRevision, Number(item.revision));
       if (item.deleted) {
         this._items.delete(item.key);
         this._addTombstone(item);
@@ -144,23 +144,23 @@
   }
 
   private _replaceItems(response: SyncResponse): Item[] {
-    const present = new Set(response.items.map((item) => item.key));
+    const presentKeys = new Set(response.items.map((item) => item.key));
     const removed = [...this._items.values()]
-      .filter((item) => !present.has(item.key))
+      .filter((item) => !presentKeys.has(item.key))
       .map((item) => ({ ...item, value: new Uint8Array(), deleted: true }));
     for (const item of removed) {
       this._items.delete(item.key);
     }
-    // The revisions of the removals are not known, so readers behind this point need a full copy.
+    // The revisions of the removals are not known, so readers below this revision need a full copy.
     this._tombstones.clear();
-    this._deltasSince = Number(response.revision);
-    this._changedRevision = this._deltasSince;
+    this._minDeltaRevision = Number(response.revision);
+    this._lastChangeRevision = this._minDeltaRevision;
     return [...removed, ...this._mergeItems(response.items)];
   }
 
   private _isNewer(item: Item): boolean {
-    const known = this._items.get(item.key) ?? this._tombstones.get(item.key);
-    return known === undefined || item.revision > known.revision;
+    const existing = this._items.get(item.key) ?? this._tombstones.get(item.key);
+    return existing === undefined || item.revision > existing.revision;
   }
 
   private _addTombstone(item: Item): void {
@@ -171,12 +171,12 @@
     const [oldest] = this._tombstones.values();
     if (oldest !== undefined) {
       this._tombstones.delete(oldest.key);
-      this._deltasSince = Math.max(this._deltasSince, Number(oldest.revision));
+      this._minDeltaRevision = Math.max(this._minDeltaRevision, Number(oldest.revision));
     }
   }
 }
 
-/** Items whose keys begin with one of the prefixes; all items for no prefix. */
+/** Items whose keys begin with one of the prefixes; all items if there are no prefixes. */
 export function filterItems(items: readonly Item[], prefixes: readonly string[]): Item[] {
   return prefixes.length === 0
     ? [...items]
--- a/src/feed/Freshness.ts
+++ b/src/feed/Freshness.ts
@@ -1,15 +1,15 @@
-/** How old a copy of the configuration may be to decide by it. */
+/** Limits the age of the configuration copy that decisions are based on. */
 import { isBroken } from '../common/TestSwitches.js';
 import type { IFeed } from './Types.js';
 
 /**
- * A copy that was confirmed longer ago than this may miss a withdrawn key or newer weights. Chosen above
- * the time of a control failover, so that one does not interrupt service.
+ * A copy that was confirmed longer ago than this may miss a withdrawn key or newer weights. It is longer than
+ * a control failover takes, so that a failover does not interrupt service.
  */
 export const FRESHNESS_LIMIT_MS = 3_000;
 
 /**
- * True when the configuration is confirmed recently enough to decide by it.
+ * True if the copy was confirmed recently enough to base decisions on it.
  *
  * @example
  * if (!isFresh(feed, clock.now())) refuse();
--- a/src/feed/Types.ts
+++ b/src/feed/Types.ts
@@ -5,11 +5,11 @@
 
 /** Read access to the configuration that this process holds. */
 export interface IFeed {
-  /** Applied log index; zero before the first copy arrived. */
+  /** Applied log index; 0 before the first copy arrived. */
   readonly revision: number;
   /** Number of the last accepted configuration change. */
   readonly version: number;
-  /** Time at which the held items were known to be current; undefined before the first confirmation. */
+  /** Last time at which the items were known to be current; undefined before the first confirmation. */
   getConfirmedAt(): number | undefined;
   getItem(key: string): Item | undefined;
   listItems(prefix: string): Item[];
@@ -17,8 +17,8 @@
   readonly onChange: IEvent<readonly Item[]>;
 }
 
-/** Something that answers sync requests: the leader's state or a copy of it. */
+/** Answers sync requests from the leader's state or from a copy of it. */
 export interface IFeedSource {
-  /** `arrivedAt` is the arrival time of the request by this process's clock. */
+  /** `arrivedAt` is the arrival time of the request by the monotonic clock of this process. */
   sync(request: SyncRequest, arrivedAt: number): SyncResponse;
 }
