--- a/src/fleet/FleetNode.ts
+++ b/src/fleet/FleetNode.ts
@@ -196,10 +196,7 @@
     });
   }
 
-  /**
-   * Restores targets that were saved before a restart; the hub marks those silent that don't announce
-   * themselves.
-   */
+  /** Restores targets saved before a restart; the hub marks those silent that don't announce themselves. */
   public restoreTargets(records: readonly TargetRecord[]): void {
     for (const record of records) {
       this._view.applyTarget(record);
@@ -217,9 +214,7 @@
     }
   }
 
-  /**
-   * Requests an exchange with the hub at once and waits for its end; false if it timed out or was aborted.
-   */
+  /** Requests an exchange with the hub at once and waits for its end; false at the timeout or if aborted. */
   public async awaitExchange(timeoutMs: number, signal: AbortSignal): Promise<boolean> {
     if (this.getHub(this._clock.now()) !== undefined) {
       this._exchangeLocally(this._clock.now());
@@ -236,9 +231,7 @@
     return hasEnded;
   }
 
-  /**
-   * Sends a change to the leader. Unless it reports the commit, the change may have been committed or not.
-   */
+  /** Sends a change to the leader. If the outcome is `unknown`, the change may have been committed or not. */
   public async submit(command: FleetCommand, signal: AbortSignal): Promise<SubmitOutcome> {
     const answer = await this._retryCommand(signal, async (limited) => {
       const result = this._isLeading()
@@ -445,9 +438,7 @@
     this._updateLeaderReachability(false, 'no leader answered');
   }
 
-  /**
-   * Searches for the leader; undefined if no process that was asked knows another leader than this process.
-   */
+  /** Searches for the leader; undefined if no asked process knows a leader other than this process. */
   private async _findLeader(signal: AbortSignal): Promise<string | undefined> {
     const candidates = this._listLeaderCandidates().slice(0, MAX_DISCOVERY_CALLS);
     const ask = async (address: string, limited: AbortSignal): Promise<ILeaderHint | undefined> => {
@@ -627,10 +618,7 @@
     return response;
   }
 
-  /**
-   * True once a majority has confirmed this leader after the call began; false if it times out or doesn't
-   * lead.
-   */
+  /** Waits until a majority has confirmed this leader after the call began; false if that fails. */
   private async _waitForConfirmation(signal: AbortSignal): Promise<boolean> {
     const calledAt = this._clock.now();
     return runWithLimit(signal, EXCHANGE_TIMEOUT_MS, async (limited) => {
--- a/src/fleet/QuotaPool.ts
+++ b/src/fleet/QuotaPool.ts
@@ -4,15 +4,12 @@
 const MAX_GRANT_FRACTION = 0.5;
 
 /**
- * Time for which a new hub grants only a share of the limit, as some entries have not reported what they
- * spent.
+ * Time for which a new hub grants only a share of the limit, since the entries may not have reported yet what
+ * they spent.
  */
 const WARM_UP_MS = 500;
 
-/**
- * Number of entries that a new hub divides the limit by while it warms up; the real number is not known
- * yet.
- */
+/** Least number of entries that a new hub assumes to share the limit, as it does not know the real one yet. */
 const WARM_UP_ENTRIES = 8;
 
 /**
--- a/src/fleet/WeightsRollout.ts
+++ b/src/fleet/WeightsRollout.ts
@@ -175,8 +175,7 @@
     const candidates = targets
       .filter((target) => isLoadable(target, model))
       .sort((left, right) => getVersion(left, model) - getVersion(right, model));
-    // Engines with weights that no request may begin on are out of service anyway, so they may all load at
-    // once.
+    // Engines with weights that no request may begin on get no requests anyway, so they may all load at once.
     const requiredVersion = this._leader.getDueVersion(model, now);
     const unusable = candidates.filter(
       (target) => getVersion(target, model) < requiredVersion,
@@ -197,9 +196,7 @@
     }
   }
 
-  /**
-   * Starts an engine's preparation, or its load once it is prepared, if fewer than the allowed number run.
-   */
+  /** Starts an engine's preparation, or its load once it is prepared, if the limits allow one more. */
   private _advanceLoad(load: ILoadTask, maxParallelLoads: number, signal: AbortSignal): void {
     const { target, hub } = load;
     const now = this._clock.now();
