--- a/src/fleet/QuotaPool.ts
+++ b/src/fleet/QuotaPool.ts
@@ -9,7 +9,7 @@
  */
 const WARM_UP_MS = 500;
 
-/** Least number of entries that a new hub assumes to share the limit, as it does not know the real one yet. */
+/** Least number of entries that a new hub assumes to share the limit, as the real one is not known yet. */
 const WARM_UP_ENTRIES = 8;
 
 /**
