--- a/src/consensus/ConsensusStore.ts
+++ b/src/consensus/ConsensusStore.ts
@@ -1,6 +1,6 @@
 /**
- * A member's durable state: the hard state, the log entries since the last snapshot, and the snapshot.
- * Entries are also kept in memory, where they are visible before they are durable.
+ * Durable state of one consensus member: the hard state (identity, term and vote), the snapshot, and the
+ * log entries after it. Entries are also held in memory, where they are readable before they are durable.
  */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { join } from 'node:path';
@@ -18,19 +18,19 @@
 import type { IDataDirectory } from '../storage/DataDirectory.js';
 import type { RecordLog } from '../storage/RecordLog.js';
 import { createDamageError, StorageError } from '../storage/StorageError.js';
-import { Exclusive } from './Exclusive.js';
+import { Mutex } from './Mutex.js';
 import { InvariantError } from './InvariantError.js';
-import type { IMemberPair } from './Memberships.js';
+import type { IMemberIdentity } from './Memberships.js';
 
 const HARD_STATE_FILE = 'hard-state';
 
 const SNAPSHOT_FILE = 'snapshot';
 
-/** Limits of the entries kept before the snapshot, so that a member slightly behind needs none. */
-const TRAILING_ENTRIES = 512;
-const TRAILING_BYTES = 1024 * 1024;
+/** Entries kept before the snapshot, so that a member slightly behind needs no snapshot transfer. */
+const MAX_TRAILING_ENTRIES = 512;
+const MAX_TRAILING_BYTES = 1024 * 1024;
 
-/** Place and membership of a snapshot. */
+/** Log position of a snapshot and the membership in force there. */
 export interface ISnapshotPosition {
   readonly index: number;
   readonly term: number;
@@ -43,8 +43,8 @@
   readonly membership: Membership;
 }
 
-/** Identity of a founded group. */
-export interface IFoundedGroup {
+/** Ids of a new group and of the disk of its first member. */
+export interface IGroupIdentity {
   readonly clusterId: Uint8Array;
   readonly diskId: Uint8Array;
 }
@@ -55,12 +55,12 @@
   membership: create(MembershipSchema),
 };
 
-/** Makes an empty data directory a group with this member as its only voter. */
+/** Bootstraps a new group in an empty data directory, with this member as its only voter. */
 export async function initialiseStore(
   directory: IDataDirectory,
   memberId: string,
   address: string,
-): Promise<IFoundedGroup> {
+): Promise<IGroupIdentity> {
   await requireEmpty(directory);
   const clusterId = generateIdentifier();
   const diskId = generateIdentifier();
@@ -73,7 +73,8 @@
   const { log } = await directory.openLog();
   await log.append([toBinary(LogEntrySchema, entry)]);
   await log.close();
-  // Written last: a directory without it is refused, so an interrupted initialisation isn't used.
+  // Written last: a directory with a log but no hard state is refused, so an interrupted bootstrap is
+  // never used.
   await saveHardState(
     directory,
     create(HardStateSchema, { clusterId, memberId, diskId, term: 1n }),
@@ -82,11 +83,11 @@
 }
 
 async function requireEmpty(directory: IDataDirectory): Promise<void> {
-  const hasFile =
+  const hasState =
     (await directory.read(HARD_STATE_FILE)) !== undefined ||
     (await directory.read(SNAPSHOT_FILE)) !== undefined ||
     (await directory.hasLog());
-  if (hasFile) {
+  if (hasState) {
     throw new StorageError(
       'not_empty',
       directory.path,
@@ -101,9 +102,10 @@
   await directory.replace(HARD_STATE_FILE, toBinary(HardStateSchema, state));
 }
 
-/** Durable state of one member. */
+/** Reads and writes the durable state of one member. */
 export class ConsensusStore {
-  private readonly _snapshotting = new Exclusive();
+  /** Serialises reads and writes of the snapshot file. */
+  private readonly _snapshotMutex = new Mutex();
   /** Memberships set by the entries after the snapshot, in order. */
   private _memberships: IIndexedMembership[];
 
@@ -118,10 +120,10 @@
     this._memberships = listMemberships(_entries, _snapshot.index);
   }
 
-  /** Opens the state, or gives an empty directory a new disk id. Throws `StorageError`. */
+  /** Opens the state; an empty directory gets a new disk id. Throws `StorageError`. */
   public static async open(directory: IDataDirectory, memberId: string): Promise<ConsensusStore> {
     const hardState = await openHardState(directory, memberId);
-    const snapshot = describeSnapshot(await readSnapshotFile(directory));
+    const snapshot = getSnapshotPosition(await readSnapshotFile(directory));
     const { log, records } = await directory.openLog();
     try {
       const entries = records.map((record) => fromBinary(LogEntrySchema, record));
@@ -136,7 +138,7 @@
     }
   }
 
-  public get pair(): IMemberPair {
+  public get identity(): IMemberIdentity {
     return this._hardState;
   }
 
@@ -148,8 +150,8 @@
     return Number(this._hardState.term);
   }
 
-  /** The pair voted for in the current term. */
-  public get votedFor(): IMemberPair | undefined {
+  /** The candidate voted for in the current term. */
+  public get votedFor(): IMemberIdentity | undefined {
     const { votedFor, votedForDiskId } = this._hardState;
     return votedFor === '' ? undefined : { memberId: votedFor, diskId: votedForDiskId };
   }
@@ -166,12 +168,12 @@
     return this.getTerm(this.lastIndex) ?? 0;
   }
 
-  /** The last membership in the log, committed or not. */
+  /** The latest membership in the log, committed or not. */
   public get membership(): IIndexedMembership {
     return this.getMembershipAt(this.lastIndex);
   }
 
-  /** The membership that was in force at an index not before the snapshot. */
+  /** The membership in force at an index, which must not precede the snapshot. */
   public getMembershipAt(index: number): IIndexedMembership {
     return this._memberships.findLast((change) => change.index <= index) ?? this._snapshot;
   }
@@ -180,7 +182,7 @@
     return this._entries[index - this._firstIndex];
   }
 
-  /** Term of the entry at an index; undefined if it is not known any more or not yet. */
+  /** Term of the entry at an index; undefined if the entry was compacted or is not appended yet. */
   public getTerm(index: number): number | undefined {
     if (index === this._snapshot.index) {
       return this._snapshot.term;
@@ -189,7 +191,10 @@
     return entry === undefined ? undefined : Number(entry.term);
   }
 
-  /** Entries from an index on, up to a number of entries and about a number of bytes. */
+  /**
+   * Entries from an index on, at most `maxCount`. The list ends with the entry that reaches `maxBytes`, so
+   * it may exceed that size by one entry.
+   */
   public listEntries(from: number, maxCount: number, maxBytes: number): LogEntry[] {
     const start = from - this._firstIndex;
     const entries: LogEntry[] = [];
@@ -204,8 +209,8 @@
     return entries;
   }
 
-  /** Saves a new term, with a vote if one is given in the same step. */
-  public async saveTerm(term: number, vote?: IMemberPair): Promise<void> {
+  /** Saves a higher term together with the vote cast in it, if any. */
+  public async saveTerm(term: number, vote?: IMemberIdentity): Promise<void> {
     if (term <= this.term) {
       throw new InvariantError(`term ${term} does not follow term ${this.term}`);
     }
@@ -216,13 +221,13 @@
   }
 
   /** Saves the vote of the current term. */
-  public async saveVote(pair: IMemberPair): Promise<void> {
-    this._hardState.votedFor = pair.memberId;
-    this._hardState.votedForDiskId = pair.diskId;
+  public async saveVote(candidate: IMemberIdentity): Promise<void> {
+    this._hardState.votedFor = candidate.memberId;
+    this._hardState.votedForDiskId = candidate.diskId;
     await saveHardState(this._directory, this._hardState);
   }
 
-  /** Saves the group that a new disk belongs to. */
+  /** Assigns a new disk to a group. */
   public async saveClusterId(clusterId: Uint8Array): Promise<void> {
     if (this._hardState.clusterId.length > 0) {
       throw new InvariantError('this disk already belongs to a group');
@@ -250,52 +255,55 @@
     await this._log.truncateSuffix(index);
   }
 
-  /** Saves a snapshot of applied entries and drops the entries that are no longer needed. */
+  /** Saves a snapshot of the applied state and compacts the log before it. */
   public saveSnapshot(position: ISnapshotPosition, data: Uint8Array): Promise<void> {
-    return this._snapshotting.run(async () => {
+    return this._snapshotMutex.run(async () => {
       if (position.index <= this._snapshot.index) {
         return;
       }
       await this._writeSnapshot(position, data);
-      const oldest = this._findOldestKept(position.index);
-      if (oldest > this._firstIndex) {
-        this._entries.splice(0, oldest - this._firstIndex);
-        this._firstIndex = oldest;
-        await this._log.dropPrefix(oldest);
+      const firstRetained = this._findFirstRetainedIndex(position.index);
+      if (firstRetained > this._firstIndex) {
+        this._entries.splice(0, firstRetained - this._firstIndex);
+        this._firstIndex = firstRetained;
+        await this._log.dropPrefix(firstRetained);
       }
     });
   }
 
-  /** Saves a snapshot from the leader; entries that don't follow it are removed. */
+  /** Saves a snapshot received from the leader; the log is discarded unless it contains that position. */
   public installSnapshot(position: ISnapshotPosition, data: Uint8Array): Promise<void> {
-    return this._snapshotting.run(async () => {
-      const knownTerm = this.getTerm(position.index);
+    return this._snapshotMutex.run(async () => {
+      const localTerm = this.getTerm(position.index);
       await this._writeSnapshot(position, data);
-      if (knownTerm !== position.term) {
-        await this._startAfterSnapshot();
+      if (localTerm !== position.term) {
+        await this._resetToSnapshot();
       }
     });
   }
 
   public readSnapshot(): Promise<SnapshotFile | undefined> {
-    return this._snapshotting.run(() => readSnapshotFile(this._directory));
+    return this._snapshotMutex.run(() => readSnapshotFile(this._directory));
   }
 
   public async close(): Promise<void> {
-    await this._snapshotting.run(() => this._log.close());
+    await this._snapshotMutex.run(() => this._log.close());
   }
 
-  private _findOldestKept(snapshotIndex: number): number {
-    let oldest = snapshotIndex + 1;
+  private _findFirstRetainedIndex(snapshotIndex: number): number {
+    let firstRetained = snapshotIndex + 1;
     let bytes = 0;
-    while (oldest > this._firstIndex && snapshotIndex - oldest + 1 < TRAILING_ENTRIES) {
-      bytes += measureCommand(this.getEntry(oldest - 1));
-      if (bytes > TRAILING_BYTES) {
+    while (
+      firstRetained > this._firstIndex &&
+      snapshotIndex - firstRetained + 1 < MAX_TRAILING_ENTRIES
+    ) {
+      bytes += measureCommand(this.getEntry(firstRetained - 1));
+      if (bytes > MAX_TRAILING_BYTES) {
         break;
       }
-      oldest -= 1;
+      firstRetained -= 1;
     }
-    return oldest;
+    return firstRetained;
   }
 
   private async _writeSnapshot(position: ISnapshotPosition, data: Uint8Array): Promise<void> {
@@ -310,20 +318,20 @@
     this._memberships = this._memberships.filter((change) => change.index > position.index);
   }
 
-  private async _startAfterSnapshot(): Promise<void> {
+  private async _resetToSnapshot(): Promise<void> {
     this._entries = [];
     this._memberships = [];
     this._firstIndex = this._snapshot.index + 1;
     await this._log.reset(this._firstIndex);
   }
 
-  /** Completes the installation of a snapshot that a crash interrupted. */
+  /** Discards the log if a crash interrupted `installSnapshot` before it did so. */
   private async _reconcileWithSnapshot(): Promise<void> {
     const { index, term } = this._snapshot;
     const entry = this.getEntry(index);
     const conflicts = entry !== undefined && Number(entry.term) !== term;
     if (this.lastIndex < index || conflicts) {
-      await this._startAfterSnapshot();
+      await this._resetToSnapshot();
     }
   }
 }
@@ -368,7 +376,7 @@
   return bytes === undefined ? undefined : fromBinary(SnapshotFileSchema, bytes);
 }
 
-function describeSnapshot(file: SnapshotFile | undefined): ISnapshotPosition {
+function getSnapshotPosition(file: SnapshotFile | undefined): ISnapshotPosition {
   if (file?.membership === undefined) {
     return NO_SNAPSHOT;
   }
--- a/src/consensus/Elections.ts
+++ b/src/consensus/Elections.ts
@@ -1,4 +1,4 @@
-/** Elections: the task that stands for election, and the answers to requests for a vote. */
+/** Leader election: campaigns when there is no leader, and answers vote requests of other members. */
 import { create } from '@bufbuild/protobuf';
 import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
 import {
@@ -9,10 +9,11 @@
   type VoteResponse,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import type { MemberState } from './MemberState.js';
-import { countMajority, isSamePair, listVoters, toPair } from './Memberships.js';
+import { countMajority, isSameMember, listVoters, getMemberIdentity } from './Memberships.js';
 import type { IConsensusTimings } from './Timings.js';
 import type { IConsensusTransport } from './Transport.js';
 
+/** Runs the election timer and campaigns of one member, and decides its votes. */
 export class Elections {
   private _lastCampaignAt = Number.NEGATIVE_INFINITY;
 
@@ -20,28 +21,29 @@
     private readonly _state: MemberState,
     private readonly _transport: IConsensusTransport,
     private readonly _timings: IConsensusTimings,
-    private readonly _random: () => number,
+    private readonly _generateRandom: () => number,
     private readonly _startLeadership: () => void,
   ) {}
 
-  /** Stands for election whenever there is no leader, until the signal is aborted. */
+  /** Campaigns whenever the election timeout passes without a leader, until the signal is aborted. */
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
-      await this._waitForSilence(signal);
+      await this._waitForElectionTimeout(signal);
       if (isAborted(signal)) {
         return;
       }
       this._lastCampaignAt = this._state.clock.now();
-      // The trial round raises no term, so a member that is cut off disturbs nobody on its return.
+      // A pre-vote does not raise the term, so a member that returns from a partition does not force the
+      // leader to step down.
       if (await this._collectVotes(true, signal)) {
         await this._runElection(signal);
       }
     }
   }
 
-  /** Answers a request for a vote. */
+  /** Answers a vote request or pre-vote request. */
   public handleVote(request: VoteRequest): Promise<VoteResponse> {
-    return this._state.exclusive.run(async () => {
+    return this._state.mutex.run(async () => {
       const granted = await this._decideVote(request);
       return create(VoteResponseSchema, { sender: this._state.createSender(), granted });
     });
@@ -50,7 +52,7 @@
   private async _decideVote(request: VoteRequest): Promise<boolean> {
     const state = this._state;
     const { sender } = request;
-    if (!state.isFromMember(sender) || this._hasLeader()) {
+    if (!state.isFromMember(sender) || this._hasLiveLeader()) {
       return false;
     }
     const term = Number(sender.term);
@@ -61,22 +63,22 @@
       await state.enterTerm(term);
     }
     const { votedFor } = state.store;
-    const isFree = votedFor === undefined || isSamePair(votedFor, sender);
-    if (term !== state.term || !isFree || !this._isUpToDate(request)) {
+    const isVoteAvailable = votedFor === undefined || isSameMember(votedFor, sender);
+    if (term !== state.term || !isVoteAvailable || !this._isUpToDate(request)) {
       return false;
     }
     await state.store.saveVote(sender);
-    state.noteContact();
+    state.recordContact();
     return true;
   }
 
-  /** True while a leader is known to be alive; its members don't take part in elections. */
-  private _hasLeader(): boolean {
+  /** True while the leader was heard from recently. A member then grants no votes and does not campaign. */
+  private _hasLiveLeader(): boolean {
     const state = this._state;
     if (state.role === 'leader') {
       return true;
     }
-    const isRecent = state.clock.now() - state.lastContactAt < this._timings.electionMinMs;
+    const isRecent = state.clock.now() - state.lastContactAt < this._timings.minElectionTimeoutMs;
     return state.leaderAddress !== undefined && isRecent;
   }
 
@@ -86,35 +88,42 @@
     return term > lastTerm || (term === lastTerm && Number(request.lastIndex) >= lastIndex);
   }
 
-  /** Waits until this member is a voter and has not heard from a leader for a random time. */
-  private async _waitForSilence(signal: AbortSignal): Promise<void> {
-    const { heartbeatMs } = this._timings;
-    const random = this._random();
+  /** Waits until this member is a voter and a random election timeout has passed without a leader. */
+  private async _waitForElectionTimeout(signal: AbortSignal): Promise<void> {
+    const { heartbeatIntervalMs } = this._timings;
+    const random = this._generateRandom();
     const state = this._state;
     while (!isAborted(signal)) {
       const since = Math.max(state.lastContactAt, this._lastCampaignAt);
-      const remainingMs = since + this._pickTimeout(random) - state.clock.now();
-      const mayStand = state.role !== 'leader' && state.isVoter;
-      // A group of one has nobody to wait for.
-      if (mayStand && (remainingMs <= 0 || state.membership.members.length === 1)) {
+      const remainingMs = since + this._getElectionTimeoutMs(random) - state.clock.now();
+      const canCampaign = state.role !== 'leader' && state.isVoter;
+      // A group of one has no leader to wait for.
+      if (canCampaign && (remainingMs <= 0 || state.membership.members.length === 1)) {
         return;
       }
-      await sleep(Math.max(1, Math.min(heartbeatMs, remainingMs)), signal);
+      await sleep(Math.max(1, Math.min(heartbeatIntervalMs, remainingMs)), signal);
     }
   }
 
-  private _pickTimeout(random: number): number {
-    const { electionMinMs, electionMaxMs, firstElectionMinMs, firstElectionMaxMs } = this._timings;
-    const hasHeard = this._state.hasHeardLeader || this._lastCampaignAt > Number.NEGATIVE_INFINITY;
-    return hasHeard
-      ? electionMinMs + (electionMaxMs - electionMinMs) * random
-      : firstElectionMinMs + (firstElectionMaxMs - firstElectionMinMs) * random;
+  private _getElectionTimeoutMs(random: number): number {
+    const {
+      minElectionTimeoutMs,
+      maxElectionTimeoutMs,
+      minFirstElectionTimeoutMs,
+      maxFirstElectionTimeoutMs,
+    } = this._timings;
+    const hasHadContact =
+      this._state.hasHadContact || this._lastCampaignAt > Number.NEGATIVE_INFINITY;
+    return hasHadContact
+      ? minElectionTimeoutMs + (maxElectionTimeoutMs - minElectionTimeoutMs) * random
+      : minFirstElectionTimeoutMs +
+          (maxFirstElectionTimeoutMs - minFirstElectionTimeoutMs) * random;
   }
 
   private async _runElection(signal: AbortSignal): Promise<void> {
     const state = this._state;
-    const isCandidate = await state.exclusive.run(async () => {
-      if (this._hasLeader() || !state.isVoter || isAborted(signal)) {
+    const isCandidate = await state.mutex.run(async () => {
+      if (this._hasLiveLeader() || !state.isVoter || isAborted(signal)) {
         return false;
       }
       await state.startCandidacy();
@@ -125,7 +134,7 @@
     }
     const { term } = state;
     const isElected = await this._collectVotes(false, signal);
-    await state.exclusive.run(() => {
+    await state.mutex.run(() => {
       if (isElected && state.role === 'candidate' && state.term === term && !isAborted(signal)) {
         this._startLeadership();
       }
@@ -133,7 +142,7 @@
     });
   }
 
-  /** Asks all voters; true as soon as a majority, this member included, has granted its vote. */
+  /** Asks all voters; true as soon as a majority, counting this member, has granted the vote. */
   private async _collectVotes(preVote: boolean, signal: AbortSignal): Promise<boolean> {
     const state = this._state;
     const { membership, term } = state;
@@ -144,10 +153,12 @@
       lastTerm: BigInt(lastTerm),
       preVote,
     });
-    const others = listVoters(membership).filter((voter) => !isSamePair(toPair(voter), state.pair));
-    const needed = countMajority(membership) - 1;
-    const votes = others.map((voter) => this._requestVote(voter, request, term, signal));
-    return hasAtLeast(votes, needed);
+    const otherVoters = listVoters(membership).filter(
+      (voter) => !isSameMember(getMemberIdentity(voter), state.identity),
+    );
+    const requiredVotes = countMajority(membership) - 1;
+    const votes = otherVoters.map((voter) => this._requestVote(voter, request, term, signal));
+    return awaitQuorum(votes, requiredVotes);
   }
 
   private async _requestVote(
@@ -157,11 +168,11 @@
     signal: AbortSignal,
   ): Promise<boolean> {
     try {
-      const limitMs = Math.min(this._timings.callMs, this._timings.electionMinMs);
-      const response = await runWithLimit(signal, limitMs, (limited) =>
+      const timeoutMs = Math.min(this._timings.callTimeoutMs, this._timings.minElectionTimeoutMs);
+      const response = await runWithLimit(signal, timeoutMs, (limited) =>
         this._transport.requestVote(voter.address, request, limited),
       );
-      if (!this._state.isExpectedResponse(response.sender, toPair(voter))) {
+      if (!this._state.isExpectedResponse(response.sender, getMemberIdentity(voter))) {
         return false;
       }
       const responseTerm = Number(response.sender.term);
@@ -177,15 +188,18 @@
   }
 }
 
-/** True as soon as enough of the promises gave true, false once that is impossible. */
-function hasAtLeast(answers: readonly Promise<boolean>[], needed: number): Promise<boolean> {
+/** Resolves to true as soon as enough answers are true, and to false once that is impossible. */
+function awaitQuorum(
+  answers: readonly Promise<boolean>[],
+  requiredCount: number,
+): Promise<boolean> {
   return new Promise((resolve) => {
     let granted = 0;
     let pending = answers.length;
     const settle = (): void => {
-      if (granted >= needed) {
+      if (granted >= requiredCount) {
         resolve(true);
-      } else if (granted + pending < needed) {
+      } else if (granted + pending < requiredCount) {
         resolve(false);
       }
     };
--- a/src/consensus/Follower.ts
+++ b/src/consensus/Follower.ts
@@ -1,4 +1,4 @@
-/** Answers to the leader: appended entries and snapshots. */
+/** The follower's side of replication: stores entries and snapshots that a leader sends. */
 import { create } from '@bufbuild/protobuf';
 import { crc32 } from 'node:zlib';
 import {
@@ -15,62 +15,63 @@
 import { InvariantError } from './InvariantError.js';
 import type { MemberState } from './MemberState.js';
 
-/** Parts of a snapshot received so far. */
+/** Chunks of a snapshot received so far. */
 interface IPartialSnapshot {
   readonly index: number;
   readonly term: number;
   readonly leaderTerm: number;
-  readonly parts: Uint8Array[];
+  readonly chunks: Uint8Array[];
   size: number;
 }
 
+/** Answers a leader's appends and snapshot chunks, and checks them against the log and the term. */
 export class Follower {
-  private _partial: IPartialSnapshot | undefined;
+  private _partialSnapshot: IPartialSnapshot | undefined;
 
   constructor(private readonly _state: MemberState) {}
 
-  /** Answers appended entries or a heartbeat. */
+  /** Answers an append, which is a heartbeat if it has no entries. */
   public handleAppend(request: AppendRequest): Promise<AppendResponse> {
-    this._noteContact(request.sender);
-    return this._state.exclusive.run(async () => {
+    this._recordContact(request.sender);
+    return this._state.mutex.run(async () => {
       const { sender } = request;
       if (!(await this._acceptLeader(sender, request.leaderAddress))) {
         return this._respondToAppend(false, 0);
       }
-      const matchIndex = this._findMatch(request);
-      if (matchIndex !== undefined) {
-        return this._respondToAppend(false, matchIndex);
+      const retryIndex = this._findRetryIndex(request);
+      if (retryIndex !== undefined) {
+        return this._respondToAppend(false, retryIndex);
       }
       return this._storeEntries(request);
     });
   }
 
-  /** Answers one part of a snapshot. */
+  /** Answers one chunk of a snapshot. */
   public handleSnapshot(request: SnapshotRequest): Promise<SnapshotResponse> {
-    this._noteContact(request.sender);
-    return this._state.exclusive.run(async () => {
+    this._recordContact(request.sender);
+    return this._state.mutex.run(async () => {
       if (!(await this._acceptLeader(request.sender, undefined))) {
         return this._respondToSnapshot(0);
       }
       if (Number(request.lastIndex) <= this._state.commitIndex) {
-        this._partial = undefined;
+        this._partialSnapshot = undefined;
         return this._respondToSnapshot(Number(request.totalSize));
       }
-      return this._receivePart(request);
+      return this._receiveChunk(request);
     });
   }
 
-  /** Notes contact before the message waits for the disk, so that a slow disk starts no election. */
-  private _noteContact(sender: Sender | undefined): void {
+  /** Restarts the election timer before the message waits for the disk: a slow disk causes no election. */
+  private _recordContact(sender: Sender | undefined): void {
     if (this._state.isSameGroup(sender) && Number(sender.term) === this._state.term) {
-      this._state.noteContact();
+      this._state.recordContact();
     }
   }
 
   /**
-   * Follows the sender if its term is current. The sender need not be in the membership known here,
-   * which may be older than the election; only a majority makes a leader, and it refuses to elect a
-   * pair outside the membership.
+   * Follows the sender unless its term is old. The sender need not be in this member's membership, which
+   * may be older than the election: a leader needs the votes of a majority, and voters refuse candidates
+   * outside the membership.
    */
   private async _acceptLeader(
     sender: Sender | undefined,
@@ -84,12 +85,12 @@
       await state.enterTerm(Number(sender.term));
     }
     state.acceptLeader(sender, address);
-    state.noteContact();
+    state.recordContact();
     return true;
   }
 
-  /** Undefined if the entries continue the log; otherwise the index after which to try next. */
-  private _findMatch(request: AppendRequest): number | undefined {
+  /** Undefined if the entries continue the log; otherwise the index after which the leader retries. */
+  private _findRetryIndex(request: AppendRequest): number | undefined {
     const { store, commitIndex } = this._state;
     const previous = Number(request.previousIndex);
     if (previous <= commitIndex) {
@@ -117,7 +118,7 @@
     if (first !== undefined && Number(first.index) <= state.store.lastIndex) {
       await this._truncate(Number(first.index));
     }
-    // Also waits for entries that this member wrote as a leader and has not synced yet.
+    // Also waits for entries that this member appended as leader and that are not synced yet.
     await state.store.append(missing);
     const commitIndex = Math.min(Number(request.commitIndex), last);
     if (commitIndex > state.commitIndex) {
@@ -126,7 +127,7 @@
     return this._respondToAppend(true, last);
   }
 
-  /** The entries from the first one on that this log lacks or has from another term. */
+  /** The entries from the first one on that is missing here or has another term here. */
   private _selectMissing(entries: readonly LogEntry[]): readonly LogEntry[] {
     const { store, commitIndex } = this._state;
     const start = entries.findIndex((entry) => {
@@ -148,18 +149,18 @@
     await this._state.store.truncateSuffix(index);
   }
 
-  private async _receivePart(request: SnapshotRequest): Promise<SnapshotResponse> {
-    const partial = this._findPartial(request);
+  private async _receiveChunk(request: SnapshotRequest): Promise<SnapshotResponse> {
+    const partial = this._ensurePartialSnapshot(request);
     if (Number(request.offset) !== partial.size) {
       return this._respondToSnapshot(partial.size);
     }
-    partial.parts.push(request.data);
+    partial.chunks.push(request.data);
     partial.size += request.data.length;
     if (!request.done) {
       return this._respondToSnapshot(partial.size);
     }
-    this._partial = undefined;
-    const data = Buffer.concat(partial.parts);
+    this._partialSnapshot = undefined;
+    const data = Buffer.concat(partial.chunks);
     if (data.length !== Number(request.totalSize) || crc32(data) !== request.crc32) {
       this._state.log.warn('snapshot damaged in transfer', { index: partial.index });
       return this._respondToSnapshot(0);
@@ -168,16 +169,16 @@
     return this._respondToSnapshot(data.length);
   }
 
-  private _findPartial(request: SnapshotRequest): IPartialSnapshot {
+  private _ensurePartialSnapshot(request: SnapshotRequest): IPartialSnapshot {
     const index = Number(request.lastIndex);
     const term = Number(request.lastTerm);
     const leaderTerm = this._state.term;
-    const known = this._partial;
-    if (known?.index === index && known.term === term && known.leaderTerm === leaderTerm) {
-      return known;
+    const current = this._partialSnapshot;
+    if (current?.index === index && current.term === term && current.leaderTerm === leaderTerm) {
+      return current;
     }
-    this._partial = { index, term, leaderTerm, parts: [], size: 0 };
-    return this._partial;
+    this._partialSnapshot = { index, term, leaderTerm, chunks: [], size: 0 };
+    return this._partialSnapshot;
   }
 
   private async _install(request: SnapshotRequest, data: Uint8Array): Promise<void> {
--- a/src/consensus/InvariantError.ts
+++ b/src/consensus/InvariantError.ts
@@ -1,4 +1,7 @@
-/** A state that correct members never reach. The member stops instead of spreading it. */
+/**
+ * A violated safety invariant, such as two leaders in one term. The member stops, so that an inconsistent
+ * state does not reach other members.
+ */
 export class InvariantError extends Error {
   constructor(message: string) {
     super(`${message}. This member stopped; keep its data directory and report the fault.`);
--- a/src/consensus/Leadership.ts
+++ b/src/consensus/Leadership.ts
@@ -1,6 +1,6 @@
 /**
- * One term as leader: a task for each other member sends it entries, heartbeats and snapshots, and a
- * task watches the contact with a majority.
+ * The leader's side of replication for one term: a task per other member sends entries, heartbeats and
+ * snapshots, and another task steps down when contact with a majority is lost.
  */
 import { create } from '@bufbuild/protobuf';
 import { crc32 } from 'node:zlib';
@@ -19,26 +19,26 @@
 import type { IActiveLeadership, MemberState } from './MemberState.js';
 import {
   findMember,
-  formatPair,
-  isSamePair,
+  formatMemberIdentity,
+  isSameMember,
   selectMajorityValue,
-  toPair,
-  type IMemberPair,
+  getMemberIdentity,
+  type IMemberIdentity,
 } from './Memberships.js';
 import type { IConsensusTimings } from './Timings.js';
 import type { IConsensusTransport } from './Transport.js';
 import type { ConsensusFailure, ICommitted } from './Types.js';
 
-/** Limits of one append. */
+/** Limits of one append request. */
 const MAX_APPEND_ENTRIES = 1_024;
 const MAX_APPEND_BYTES = 1024 * 1024;
 
-/** Part of a snapshot in one call. */
-const SNAPSHOT_PART_BYTES = 1024 * 1024;
+/** Bytes of a snapshot in one call. */
+const SNAPSHOT_CHUNK_BYTES = 1024 * 1024;
 
 type EntryBody = LogEntry['body'];
 
-/** What the leader knows of another member. */
+/** Replication progress of another member. */
 interface IPeer {
   readonly member: Member;
   readonly controller: AbortController;
@@ -46,11 +46,12 @@
   matchIndex: number;
   /** Start of the last call that the member acknowledged. */
   confirmedAt: number | undefined;
-  /** As `confirmedAt`; before the first acknowledgement the time when the task began. */
+  /** Like `confirmedAt`, but before the first acknowledgement the time when replication started. */
   contactAt: number;
   wake: () => void;
 }
 
+/** Leads the group for one term, from the election until it steps down. Proposals go through it. */
 export class Leadership implements IActiveLeadership {
   public readonly term: number;
   private readonly _controller = new AbortController();
@@ -62,7 +63,7 @@
     private readonly _state: MemberState,
     private readonly _transport: IConsensusTransport,
     private readonly _timings: IConsensusTimings,
-    private readonly _onStep: (leadership: Leadership) => void,
+    private readonly _onTick: (leadership: Leadership) => void,
   ) {
     this.term = _state.term;
   }
@@ -71,19 +72,19 @@
     return this._controller.signal;
   }
 
-  /** True once an entry of this term is committed: all earlier entries are then known. */
+  /** True once an entry of this term is committed, and with it all entries of earlier terms. */
   public get isEstablished(): boolean {
     return this._noOpIndex > 0 && this._state.commitIndex >= this._noOpIndex;
   }
 
-  /** True if a membership change may be proposed. */
+  /** True if a membership change may be proposed: the previous one must be committed. */
   public get canChangeMembership(): boolean {
     return this.isEstablished && this._state.store.membership.index <= this._state.commitIndex;
   }
 
   public start(): void {
     this._noOpIndex = this._append({ case: 'noOp', value: true });
-    this._runTask(this._watch());
+    this._runTask(this._watchQuorum());
   }
 
   public stop(): void {
@@ -107,7 +108,7 @@
     return this._state.waitForCommit(index, signal);
   }
 
-  /** Start of the last round that a majority acknowledged. */
+  /** Start of the last heartbeat round that a majority acknowledged; undefined before there is one. */
   public getConfirmedAt(now: number): number | undefined {
     if (!this.isEstablished) {
       return undefined;
@@ -116,21 +117,21 @@
     return Number.isFinite(time) ? time : undefined;
   }
 
-  /** Time of the last acknowledgement of a member. */
-  public getContact(pair: IMemberPair): number | undefined {
-    return this._peers.get(formatPair(pair))?.confirmedAt;
+  /** Start of the last call that a member acknowledged; undefined if it acknowledged none. */
+  public getLastContactAt(identity: IMemberIdentity): number | undefined {
+    return this._peers.get(formatMemberIdentity(identity))?.confirmedAt;
   }
 
-  /** Last index that a member is known to hold. */
-  public getMatchIndex(pair: IMemberPair): number {
-    return this._peers.get(formatPair(pair))?.matchIndex ?? 0;
+  /** Last log index known to be durable on a member. */
+  public getMatchIndex(identity: IMemberIdentity): number {
+    return this._peers.get(formatMemberIdentity(identity))?.matchIndex ?? 0;
   }
 
   private _append(body: EntryBody): number {
     const { store } = this._state;
     const index = store.lastIndex + 1;
     const entry = create(LogEntrySchema, { index: BigInt(index), term: BigInt(this.term), body });
-    this._runTask(this._makeDurable(entry));
+    this._runTask(this._persistEntry(entry));
     if (body.case !== 'command') {
       this._reconcilePeers();
     }
@@ -140,7 +141,7 @@
     return index;
   }
 
-  private async _makeDurable(entry: LogEntry): Promise<void> {
+  private async _persistEntry(entry: LogEntry): Promise<void> {
     await this._state.store.append([entry]);
     this._durableIndex = Math.max(this._durableIndex, Number(entry.index));
     this._advanceCommit();
@@ -152,22 +153,22 @@
     });
   }
 
-  /** Starts and stops tasks so that there is one for each other member. */
+  /** Starts and stops replication tasks to match the current membership. */
   private _reconcilePeers(): void {
-    const { membership, pair } = this._state;
+    const { membership, identity } = this._state;
     for (const [key, peer] of this._peers) {
-      const member = findMember(membership, toPair(peer.member));
+      const member = findMember(membership, getMemberIdentity(peer.member));
       if (member?.address !== peer.member.address) {
         stopPeer(peer);
         this._peers.delete(key);
       }
     }
     for (const member of membership.members) {
-      const key = formatPair(toPair(member));
-      if (!isSamePair(toPair(member), pair) && !this._peers.has(key)) {
+      const key = formatMemberIdentity(getMemberIdentity(member));
+      if (!isSameMember(getMemberIdentity(member), identity) && !this._peers.has(key)) {
         const peer = this._createPeer(member);
         this._peers.set(key, peer);
-        this._runTask(this._replicate(peer));
+        this._runTask(this._replicateTo(peer));
       }
     }
   }
@@ -184,31 +185,31 @@
     };
   }
 
-  /** Task of one member. */
-  private async _replicate(peer: IPeer): Promise<void> {
+  /** Replicates to one member until its signal is aborted. */
+  private async _replicateTo(peer: IPeer): Promise<void> {
     const { signal } = peer.controller;
     while (!isAborted(signal)) {
       const startedAt = this._state.clock.now();
       const isAnswered = await this._sendNext(peer, startedAt, signal);
       if (!isAnswered) {
-        await sleep(this._timings.heartbeatMs, signal);
+        await sleep(this._timings.heartbeatIntervalMs, signal);
       } else if (peer.nextIndex > this._state.store.lastIndex) {
-        await this._waitForWork(peer, startedAt);
+        await this._waitForEntryOrHeartbeat(peer, startedAt);
       }
     }
   }
 
-  /** Waits for a new entry or the next heartbeat. */
-  private async _waitForWork(peer: IPeer, startedAt: number): Promise<void> {
+  /** Waits until there is a new entry or the next heartbeat is due. */
+  private async _waitForEntryOrHeartbeat(peer: IPeer, startedAt: number): Promise<void> {
     const wakeUp = new AbortController();
     peer.wake = () => {
       wakeUp.abort();
     };
-    const remainingMs = startedAt + this._timings.heartbeatMs - this._state.clock.now();
+    const remainingMs = startedAt + this._timings.heartbeatIntervalMs - this._state.clock.now();
     await sleep(Math.max(0, remainingMs), wakeUp.signal);
   }
 
-  /** Sends the next entries or the snapshot; false if there was no valid answer. */
+  /** Sends the next entries, or the snapshot if they were compacted; false without a valid response. */
   private async _sendNext(peer: IPeer, startedAt: number, signal: AbortSignal): Promise<boolean> {
     const { store } = this._state;
     const previousTerm = store.getTerm(peer.nextIndex - 1);
@@ -216,8 +217,8 @@
       if (previousTerm === undefined || !this._hasEntry(peer.nextIndex)) {
         return await this._sendSnapshot(peer, signal);
       }
-      const request = this._createAppend(peer.nextIndex, previousTerm);
-      const response = await runWithLimit(signal, this._timings.callMs, (limited) =>
+      const request = this._createAppendRequest(peer.nextIndex, previousTerm);
+      const response = await runWithLimit(signal, this._timings.callTimeoutMs, (limited) =>
         this._transport.appendEntries(peer.member.address, request, limited),
       );
       return await this._handleAppendResponse(peer, request, response, startedAt);
@@ -232,7 +233,7 @@
     return index > store.lastIndex || store.getEntry(index) !== undefined;
   }
 
-  private _createAppend(nextIndex: number, previousTerm: number): AppendRequest {
+  private _createAppendRequest(nextIndex: number, previousTerm: number): AppendRequest {
     const { store, commitIndex, address } = this._state;
     return create(AppendRequestSchema, {
       sender: this._state.createSender(),
@@ -256,14 +257,14 @@
     const matchIndex = Number(response.matchIndex);
     if (response.success) {
       const sent = Number(request.previousIndex) + request.entries.length;
-      this._noteMatch(peer, Math.min(matchIndex, sent));
+      this._recordMatch(peer, Math.min(matchIndex, sent));
       return true;
     }
     peer.nextIndex = Math.max(1, Math.min(peer.nextIndex - 1, matchIndex + 1));
     return true;
   }
 
-  /** Notes the contact; false if the response is not from the expected member in this term. */
+  /** Records the contact; false if the response is not from the expected member in this term. */
   private async _acceptResponse(
     peer: IPeer,
     sender: AppendResponse['sender'],
@@ -271,7 +272,7 @@
   ): Promise<boolean> {
     if (
       isAborted(peer.controller.signal) ||
-      !this._state.isExpectedResponse(sender, toPair(peer.member))
+      !this._state.isExpectedResponse(sender, getMemberIdentity(peer.member))
     ) {
       return false;
     }
@@ -284,7 +285,7 @@
     return true;
   }
 
-  private _noteMatch(peer: IPeer, matchIndex: number): void {
+  private _recordMatch(peer: IPeer, matchIndex: number): void {
     peer.matchIndex = Math.max(peer.matchIndex, matchIndex);
     peer.nextIndex = matchIndex + 1;
     this._advanceCommit();
@@ -298,8 +299,8 @@
     let offset = 0;
     do {
       const startedAt = this._state.clock.now();
-      const request = this._createSnapshotPart(file, offset);
-      const response = await runWithLimit(signal, this._timings.callMs, (limited) =>
+      const request = this._createSnapshotRequest(file, offset);
+      const response = await runWithLimit(signal, this._timings.callTimeoutMs, (limited) =>
         this._transport.installSnapshot(peer.member.address, request, limited),
       );
       if (!(await this._acceptResponse(peer, response.sender, startedAt))) {
@@ -311,15 +312,15 @@
       }
       offset = nextOffset;
     } while (offset < file.data.length);
-    this._noteMatch(peer, Number(file.lastIndex));
+    this._recordMatch(peer, Number(file.lastIndex));
     return true;
   }
 
-  private _createSnapshotPart(
+  private _createSnapshotRequest(
     file: SnapshotFile,
     offset: number,
   ): ReturnType<typeof create<typeof SnapshotRequestSchema>> {
-    const end = Math.min(offset + SNAPSHOT_PART_BYTES, file.data.length);
+    const end = Math.min(offset + SNAPSHOT_CHUNK_BYTES, file.data.length);
     return create(SnapshotRequestSchema, {
       sender: this._state.createSender(),
       lastIndex: file.lastIndex,
@@ -333,57 +334,57 @@
     });
   }
 
-  /** Commits what a majority of voters holds, if it ends with an entry of this term. */
+  /** Commits up to the index that a majority of voters holds, if that entry is of this term. */
   private _advanceCommit(): void {
     const state = this._state;
     if (isAborted(this.signal)) {
       return;
     }
     const index = selectMajorityValue(state.membership, (voter) =>
-      isSamePair(toPair(voter), state.pair)
+      isSameMember(getMemberIdentity(voter), state.identity)
         ? this._durableIndex
-        : this.getMatchIndex(toPair(voter)),
+        : this.getMatchIndex(getMemberIdentity(voter)),
     );
     if (index > state.commitIndex && state.store.getTerm(index) === this.term) {
       state.advanceCommit(index);
-      this._leaveIfRemoved();
+      this._stepDownIfRemoved();
     }
   }
 
-  /** A leader that committed its own removal stops leading. */
-  private _leaveIfRemoved(): void {
+  /** Steps down once its own removal is committed. */
+  private _stepDownIfRemoved(): void {
     const { membership, index } = this._state.store.membership;
-    const isMember = findMember(membership, this._state.pair) !== undefined;
+    const isMember = findMember(membership, this._state.identity) !== undefined;
     if (!isMember && index <= this._state.commitIndex) {
       this._state.log.info('this member was removed from the group');
       this._state.stepDown();
     }
   }
 
-  /** Steps down when no majority answered for one election timeout. */
-  private async _watch(): Promise<void> {
+  /** Steps down when no majority has answered for the minimum election timeout. */
+  private async _watchQuorum(): Promise<void> {
     while (!isAborted(this.signal)) {
-      await sleep(this._timings.heartbeatMs, this.signal);
+      await sleep(this._timings.heartbeatIntervalMs, this.signal);
       const now = this._state.clock.now();
       const contactAt = this._selectMajorityTime(now, (peer) => peer.contactAt);
-      if (!isAborted(this.signal) && now - contactAt > this._timings.electionMinMs) {
-        this._state.log.warn('no contact with a majority, leadership given up', {
+      if (!isAborted(this.signal) && now - contactAt > this._timings.minElectionTimeoutMs) {
+        this._state.log.warn('contact with a majority lost, stepping down', {
           term: this.term,
         });
         this._state.stepDown();
         return;
       }
-      this._onStep(this);
+      this._onTick(this);
     }
   }
 
   private _selectMajorityTime(now: number, getTime: (peer: IPeer) => number | undefined): number {
-    const { membership, pair } = this._state;
+    const { membership, identity } = this._state;
     return selectMajorityValue(membership, (voter) => {
-      if (isSamePair(toPair(voter), pair)) {
+      if (isSameMember(getMemberIdentity(voter), identity)) {
         return now;
       }
-      const peer = this._peers.get(formatPair(toPair(voter)));
+      const peer = this._peers.get(formatMemberIdentity(getMemberIdentity(voter)));
       return (peer === undefined ? undefined : getTime(peer)) ?? Number.NEGATIVE_INFINITY;
     });
   }
--- a/src/consensus/MemberState.ts
+++ b/src/consensus/MemberState.ts
@@ -1,6 +1,6 @@
 /**
- * State that the tasks of one member share: role, leader, committed and applied index, and the callers
- * that wait for a commit. Steps that change the hard state or the log as a follower run in `exclusive`.
+ * State shared by the tasks of one member: role, leader, commit index and applied index, and the callers
+ * that wait for a commit. Every change of the hard state, and of the log of a follower, runs in `mutex`.
  */
 import { create } from '@bufbuild/protobuf';
 import type { IClock } from '../common/Clock.js';
@@ -15,9 +15,15 @@
   type Sender,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import type { ConsensusStore } from './ConsensusStore.js';
-import { Exclusive } from './Exclusive.js';
+import { Mutex } from './Mutex.js';
 import { InvariantError } from './InvariantError.js';
-import { findMember, formatPair, isSamePair, isVoter, type IMemberPair } from './Memberships.js';
+import {
+  findMember,
+  formatMemberIdentity,
+  isSameMember,
+  isVoter,
+  type IMemberIdentity,
+} from './Memberships.js';
 import type {
   ConsensusFailure,
   ConsensusRole,
@@ -26,41 +32,44 @@
   IStateMachine,
 } from './Types.js';
 
-/** A snapshot is taken after this many entries or bytes of commands. */
-const SNAPSHOT_ENTRIES = 512;
-const SNAPSHOT_BYTES = 4 * 1024 * 1024;
+/** A snapshot is taken after this many entries or bytes of commands, whichever comes first. */
+const SNAPSHOT_INTERVAL_ENTRIES = 512;
+const SNAPSHOT_INTERVAL_BYTES = 4 * 1024 * 1024;
 
 const EMPTY_RESULT = new Uint8Array();
 
-interface IWaiter {
+/** A caller that waits until the entry that it proposed in a term is applied. */
+interface ICommitWaiter {
   readonly term: number;
   readonly resolve: (result: Result<ICommitted, ConsensusFailure>) => void;
 }
 
-/** The part of a leadership that the other tasks use. */
+/** The view of a `Leadership` that `MemberState` needs. */
 export interface IActiveLeadership {
   readonly term: number;
   stop(): void;
 }
 
+/** Holds the shared state of one member, performs its role transitions and applies committed entries. */
 export class MemberState {
-  public readonly exclusive = new Exclusive();
+  /** Serialises changes of the hard state and, on a follower, of the log. */
+  public readonly mutex = new Mutex();
   public readonly roleChanges = new Emitter<IConsensusStatus>();
   /** Fires once, when the member stops because of an error. */
   public readonly failures = new Emitter<unknown>();
   public leadership: IActiveLeadership | undefined;
 
   private readonly _stopping = new AbortController();
-  private readonly _waiters = new Map<number, IWaiter>();
+  private readonly _commitWaiters = new Map<number, ICommitWaiter>();
   private _role: 'follower' | 'candidate' | 'leader' = 'follower';
-  private _leader: IMemberPair | undefined;
+  private _leader: IMemberIdentity | undefined;
   private _leaderAddress: string | undefined;
   private _lastContactAt: number;
   private _commitIndex: number;
   private _appliedIndex: number;
   private _bytesSinceSnapshot = 0;
   private _isSnapshotting = false;
-  private _hasHeardLeader = false;
+  private _hasHadContact = false;
   private _failure: unknown;
 
   constructor(
@@ -85,8 +94,8 @@
     return this._failure;
   }
 
-  public get pair(): IMemberPair {
-    return this.store.pair;
+  public get identity(): IMemberIdentity {
+    return this.store.identity;
   }
 
   public get term(): number {
@@ -106,19 +115,19 @@
   }
 
   public get isVoter(): boolean {
-    return isVoter(this.membership, this.pair);
+    return isVoter(this.membership, this.identity);
   }
 
   public get leaderAddress(): string | undefined {
     return this._leaderAddress;
   }
 
-  /** True once a leader or a candidate was heard of since the start. */
-  public get hasHeardLeader(): boolean {
-    return this._hasHeardLeader;
+  /** True once this member accepted a leader or voted for a candidate since its start. */
+  public get hasHadContact(): boolean {
+    return this._hasHadContact;
   }
 
-  /** Time of the last message from the leader, or of the start. */
+  /** Time of the last contact with a leader or candidate, or of the start. */
   public get lastContactAt(): number {
     return this._lastContactAt;
   }
@@ -130,11 +139,11 @@
       term: this.term,
       commitIndex: this._commitIndex,
       appliedIndex: this._appliedIndex,
-      memberId: this.pair.memberId,
-      diskId: this.pair.diskId,
+      memberId: this.identity.memberId,
+      diskId: this.identity.diskId,
       clusterId: this.store.clusterId,
       leaderAddress: this._leaderAddress,
-      // A change that isn't committed yet may be undone, so nobody may rely on it.
+      // An uncommitted membership change may still be rolled back.
       membership: this.store.getMembershipAt(this._commitIndex).membership,
     };
   }
@@ -142,13 +151,13 @@
   public createSender(): Sender {
     return create(SenderSchema, {
       clusterId: this.store.clusterId,
-      memberId: this.pair.memberId,
-      diskId: this.pair.diskId,
+      memberId: this.identity.memberId,
+      diskId: this.identity.diskId,
       term: BigInt(this.term),
     });
   }
 
-  /** True if a message is from the same group. A disk without a group accepts none. */
+  /** True if a message is from the same group. A disk that belongs to no group accepts no message. */
   public isSameGroup(sender: Sender | undefined): sender is Sender {
     const { clusterId } = this.store;
     return (
@@ -161,30 +170,33 @@
     return this.isSameGroup(sender) && findMember(this.membership, sender) !== undefined;
   }
 
-  /** True if a response is from the expected member, which still is in the membership. */
-  public isExpectedResponse(sender: Sender | undefined, expected: IMemberPair): sender is Sender {
-    return this.isFromMember(sender) && isSamePair(sender, expected);
+  /** True if a response is from the expected member and that member is still in the membership. */
+  public isExpectedResponse(
+    sender: Sender | undefined,
+    expected: IMemberIdentity,
+  ): sender is Sender {
+    return this.isFromMember(sender) && isSameMember(sender, expected);
   }
 
   /** Adopts a higher term that a member reported. */
   public observeTerm(term: number): Promise<void> {
-    return this.exclusive.run(async () => {
+    return this.mutex.run(async () => {
       if (term > this.term) {
         await this.enterTerm(term);
       }
     });
   }
 
-  /** Becomes a follower in a higher term. Only within `exclusive`. */
+  /** Becomes a follower in a higher term. Call only within `mutex`. */
   public async enterTerm(term: number): Promise<void> {
     this.stepDown();
     this._leader = undefined;
     this._leaderAddress = undefined;
     await this.store.saveTerm(term);
-    this._announce();
+    this._emitRoleChange();
   }
 
-  /** Gives up leadership or candidacy in the current term. */
+  /** Becomes a follower without changing the term. Callers that wait for a commit fail. */
   public stepDown(): void {
     if (this._role === 'follower') {
       return;
@@ -193,34 +205,34 @@
     this._leaderAddress = undefined;
     this.leadership?.stop();
     this.leadership = undefined;
-    this._rejectWaiters({
+    this._rejectCommitWaiters({
       kind: 'indeterminate',
       message: 'The leader stepped down; look up the outcome at the new leader.',
     });
-    this._announce();
+    this._emitRoleChange();
   }
 
-  /** Votes for itself in a new term. Only within `exclusive`. */
+  /** Becomes a candidate in the next term and votes for itself. Call only within `mutex`. */
   public async startCandidacy(): Promise<void> {
     this._role = 'candidate';
     this._leader = undefined;
     this._leaderAddress = undefined;
-    await this.store.saveTerm(this.term + 1, this.pair);
-    this._announce();
+    await this.store.saveTerm(this.term + 1, this.identity);
+    this._emitRoleChange();
   }
 
   public startLeadership(leadership: IActiveLeadership): void {
-    this._setLeader(this.pair);
+    this._setLeader(this.identity);
     this._role = 'leader';
     this._leaderAddress = this.address;
     this.leadership = leadership;
-    this._announce();
+    this._emitRoleChange();
   }
 
-  /** Follows the leader of the current term. Only within `exclusive`. */
-  public acceptLeader(leader: IMemberPair, address: string | undefined): void {
+  /** Follows the leader of the current term. Call only within `mutex`. */
+  public acceptLeader(leader: IMemberIdentity, address: string | undefined): void {
     if (this._role === 'leader') {
-      const problem = `${formatPair(leader)} also leads term ${this.term}`;
+      const problem = `${formatMemberIdentity(leader)} also leads term ${this.term}`;
       throw new InvariantError(problem);
     }
     this._setLeader(leader);
@@ -229,17 +241,17 @@
     this._role = 'follower';
     this._leaderAddress = address ?? this._leaderAddress;
     if (hasChanged) {
-      this._announce();
+      this._emitRoleChange();
     }
   }
 
-  /** Notes that the leader is alive. */
-  public noteContact(): void {
-    this._hasHeardLeader = true;
+  /** Restarts the election timeout. */
+  public recordContact(): void {
+    this._hasHadContact = true;
     this._lastContactAt = this.clock.now();
   }
 
-  /** Marks entries as committed and applies them. */
+  /** Marks the entries up to an index as committed and applies them. */
   public advanceCommit(index: number): void {
     if (index < this._commitIndex || index > this.store.lastIndex) {
       throw new InvariantError(
@@ -253,7 +265,7 @@
     this._snapshotIfDue();
   }
 
-  /** Replaces the state by a snapshot of the leader. Only within `exclusive`. */
+  /** Replaces the state by a snapshot from the leader. Call only within `mutex`. */
   public restore(data: Uint8Array, index: number): void {
     if (index < this._commitIndex) {
       throw new InvariantError(`a snapshot at ${index} would undo entry ${this._commitIndex}`);
@@ -264,7 +276,10 @@
     this._bytesSinceSnapshot = 0;
   }
 
-  /** Waits until the entry at an index is applied; fails if it may be replaced. */
+  /**
+   * Resolves when the entry at an index is applied, or with a failure if the signal is aborted, the member
+   * stops, or it steps down, after which another leader may replace the entry.
+   */
   public async waitForCommit(
     index: number,
     signal: AbortSignal,
@@ -272,7 +287,7 @@
     const { term } = this;
     return new Promise((resolve) => {
       const abort = (): void => {
-        this._waiters.delete(index);
+        this._commitWaiters.delete(index);
         const message = 'The call ended before the command was committed; look up its outcome.';
         resolve(Err({ kind: 'indeterminate', message }));
       };
@@ -280,7 +295,7 @@
         signal.removeEventListener('abort', abort);
         resolve(result);
       };
-      this._waiters.set(index, { term, resolve: settle });
+      this._commitWaiters.set(index, { term, resolve: settle });
       signal.addEventListener('abort', abort, { once: true });
       if (signal.aborted) {
         abort();
@@ -288,7 +303,7 @@
     });
   }
 
-  /** Stops the member because of an error that it must not continue after. */
+  /** Stops the member after an unrecoverable error. */
   public fail(error: unknown): void {
     if (this.signal.aborted) {
       return;
@@ -299,17 +314,20 @@
     this.failures.fire(error);
   }
 
-  /** Ends all tasks. */
+  /** Aborts all tasks and fails the callers that wait for a commit. */
   public stop(): void {
     this._stopping.abort();
     this.stepDown();
-    this._rejectWaiters({ kind: 'stopped', message: 'This member is stopping; ask another one.' });
+    this._rejectCommitWaiters({
+      kind: 'stopped',
+      message: 'This member is stopping; ask another one.',
+    });
   }
 
-  private _setLeader(leader: IMemberPair): void {
-    if (this._leader !== undefined && !isSamePair(this._leader, leader)) {
+  private _setLeader(leader: IMemberIdentity): void {
+    if (this._leader !== undefined && !isSameMember(this._leader, leader)) {
       throw new InvariantError(
-        `term ${this.term} has two leaders, ${formatPair(this._leader)} and ${formatPair(leader)}`,
+        `term ${this.term} has two leaders, ${formatMemberIdentity(this._leader)} and ${formatMemberIdentity(leader)}`,
       );
     }
     this._leader = { memberId: leader.memberId, diskId: leader.diskId };
@@ -323,8 +341,8 @@
     }
     const result = this._applyEntry(entry, index);
     this._appliedIndex = index;
-    const waiter = this._waiters.get(index);
-    this._waiters.delete(index);
+    const waiter = this._commitWaiters.get(index);
+    this._commitWaiters.delete(index);
     if (waiter === undefined) {
       return;
     }
@@ -344,7 +362,8 @@
 
   private _snapshotIfDue(): void {
     const count = this._appliedIndex - this.store.snapshot.index;
-    const isDue = count >= SNAPSHOT_ENTRIES || this._bytesSinceSnapshot >= SNAPSHOT_BYTES;
+    const isDue =
+      count >= SNAPSHOT_INTERVAL_ENTRIES || this._bytesSinceSnapshot >= SNAPSHOT_INTERVAL_BYTES;
     if (!isDue || this._isSnapshotting) {
       return;
     }
@@ -363,15 +382,15 @@
       });
   }
 
-  private _rejectWaiters(failure: ConsensusFailure): void {
-    const waiters = [...this._waiters.values()];
-    this._waiters.clear();
+  private _rejectCommitWaiters(failure: ConsensusFailure): void {
+    const waiters = [...this._commitWaiters.values()];
+    this._commitWaiters.clear();
     for (const waiter of waiters) {
       waiter.resolve(Err(failure));
     }
   }
 
-  private _announce(): void {
+  private _emitRoleChange(): void {
     this.roleChanges.fire(this.status);
   }
 }
--- a/src/consensus/MembershipChanges.ts
+++ b/src/consensus/MembershipChanges.ts
@@ -1,4 +1,4 @@
-/** Changes of the membership, made by the leader one step at a time. */
+/** Membership changes. The leader commits one single-member change before it proposes the next. */
 import { create } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
@@ -10,20 +10,20 @@
   type Member,
   type Membership,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
-import { Exclusive } from './Exclusive.js';
+import { Mutex } from './Mutex.js';
 import type { Leadership } from './Leadership.js';
 import type { MemberState } from './MemberState.js';
 import {
   addLearner,
   findMember,
-  formatPair,
-  isSamePair,
+  formatMemberIdentity,
+  isSameMember,
   listVoters,
-  moveMember,
+  updateMemberAddress,
   promoteLearner,
-  removePair,
-  toPair,
-  type IMemberPair,
+  removeMember,
+  getMemberIdentity,
+  type IMemberIdentity,
 } from './Memberships.js';
 import type { IConsensusTimings } from './Timings.js';
 import type { ConsensusFailure, IMembershipPolicy } from './Types.js';
@@ -33,9 +33,11 @@
 
 type ChangeResult = Result<void, MembershipFailure>;
 
+/** Admits, promotes, replaces and removes members on behalf of the leader. */
 export class MembershipChanges {
-  private readonly _changes = new Exclusive();
-  private _isPromoting = false;
+  /** Serialises the changes. */
+  private readonly _mutex = new Mutex();
+  private _isReconciling = false;
 
   constructor(
     private readonly _state: MemberState,
@@ -43,7 +45,7 @@
     private readonly _policy: IMembershipPolicy | undefined,
   ) {}
 
-  /** Answers a disk that asks to be added. */
+  /** Answers the join request of a disk that is not a member, or of a member with a new address. */
   public async handleJoin(
     leadership: Leadership | undefined,
     request: JoinRequest,
@@ -56,19 +58,19 @@
     if (leadership === undefined) {
       return this._respond('This member does not lead; ask the leader.');
     }
-    const result = await runWithLimit(signal, this._timings.joinMs, (limited) =>
-      this._changes.run(() => this._admit(leadership, request, limited)),
+    const result = await runWithLimit(signal, this._timings.joinTimeoutMs, (limited) =>
+      this._mutex.run(() => this._admit(leadership, request, limited)),
     );
     return this._respond(result.ok ? undefined : result.val.message);
   }
 
-  /** Removes all pairs with a member id. */
+  /** Removes all members with a member id, whatever their disk. */
   public remove(
     leadership: Leadership,
     memberId: string,
     signal: AbortSignal,
   ): Promise<ChangeResult> {
-    return this._changes.run(async () => {
+    return this._mutex.run(async () => {
       const members = this._listByMemberId(memberId);
       if (members.length === 0) {
         return refuse(`There is no member ${memberId}; check the member id.`);
@@ -84,48 +86,56 @@
   }
 
   /**
-   * Promotes a learner that holds everything committed. Voters that answer must know the learner
-   * first: they ignore vote requests from pairs outside the membership they know.
+   * Promotes a learner that has caught up, and replaces or removes a lost voter as the policy allows.
+   * Reachable voters must have received the entry that added the learner first, because they ignore vote
+   * requests from members outside their membership.
    */
-  public promoteIfReady(leadership: Leadership): void {
-    if (this._isPromoting) {
+  public reconcileVoters(leadership: Leadership): void {
+    if (this._isReconciling) {
       return;
     }
     const learner = this._findReadyLearner(leadership);
     const lost = this._findLostVoter(leadership);
     const minVoters = this._policy?.minVoters ?? Number.POSITIVE_INFINITY;
     const canShrink = listVoters(this._state.membership).length > minVoters;
-    if (learner !== undefined && (lost !== undefined || !this._isFull())) {
-      this._runChange('learner promoted', learner, () =>
-        this._promote(leadership, toPair(learner), lost),
+    if (learner !== undefined && (lost !== undefined || !this._hasMaxVoters())) {
+      this._runBackgroundChange('learner promoted', learner, () =>
+        this._promote(leadership, getMemberIdentity(learner), lost),
       );
     } else if (lost !== undefined && canShrink) {
-      this._runChange('lost voter removed', lost, () =>
+      this._runBackgroundChange('lost voter removed', lost, () =>
         this._removeMember(leadership, lost, leadership.signal),
       );
     }
   }
 
-  /** Makes a change that no caller waits for, one at a time. */
-  private _runChange(what: string, member: Member, change: () => Promise<ChangeResult>): void {
-    this._isPromoting = true;
-    this._changes
+  /** Starts a change that no caller waits for; at most one runs at a time. */
+  private _runBackgroundChange(
+    event: string,
+    member: Member,
+    change: () => Promise<ChangeResult>,
+  ): void {
+    this._isReconciling = true;
+    this._mutex
       .run(change)
       .then((result) => {
-        this._state.log.info(what, { member: member.id, ok: result.ok });
+        this._state.log.info(event, { member: member.id, ok: result.ok });
       })
       .catch((error: unknown) => {
         this._state.fail(error);
       })
       .finally(() => {
-        this._isPromoting = false;
+        this._isReconciling = false;
       });
   }
 
-  /** The lost voter goes first: with it among them, the other voters would all be needed. */
+  /**
+   * Removes the lost voter before it promotes the learner: the other order adds a voter while one is lost,
+   * and a majority of the larger group would need all the remaining voters.
+   */
   private async _promote(
     leadership: Leadership,
-    pair: IMemberPair,
+    identity: IMemberIdentity,
     lost: Member | undefined,
   ): Promise<ChangeResult> {
     if (lost !== undefined) {
@@ -135,7 +145,9 @@
       }
     }
     const promote = (membership: Membership): Membership | undefined =>
-      this._isReady(leadership, pair) ? promoteLearner(membership, pair) : undefined;
+      this._isReadyForPromotion(leadership, identity)
+        ? promoteLearner(membership, identity)
+        : undefined;
     return this._applyChange(leadership, promote, leadership.signal);
   }
 
@@ -153,35 +165,35 @@
     request: JoinRequest,
     signal: AbortSignal,
   ): Promise<ChangeResult> {
-    const pair: IMemberPair = request;
-    const known = findMember(this._state.membership, pair);
-    if (known?.address === request.address) {
-      return this._settleChange(leadership, signal);
+    const identity: IMemberIdentity = request;
+    const existing = findMember(this._state.membership, identity);
+    if (existing?.address === request.address) {
+      return this._waitForPendingChange(leadership, signal);
     }
-    if (known !== undefined) {
-      const move = (membership: Membership): Membership =>
-        moveMember(membership, pair, request.address);
-      return this._applyChange(leadership, move, signal);
+    if (existing !== undefined) {
+      const updateAddress = (membership: Membership): Membership =>
+        updateMemberAddress(membership, identity, request.address);
+      return this._applyChange(leadership, updateAddress, signal);
     }
-    const removal = await this._removeOldDisks(leadership, pair, signal);
+    const removal = await this._removeOldDisks(leadership, identity, signal);
     if (!removal.ok) {
       return removal;
     }
     const add = (membership: Membership): Membership =>
-      addLearner(membership, pair, request.address);
+      addLearner(membership, identity, request.address);
     return this._applyChange(leadership, add, signal);
   }
 
-  /** Removes the pairs of the same member id; refuses if one of them is still alive. */
+  /** Removes earlier disks with the same member id; refuses if a process with one of them still answers. */
   private async _removeOldDisks(
     leadership: Leadership,
-    pair: IMemberPair,
+    identity: IMemberIdentity,
     signal: AbortSignal,
   ): Promise<ChangeResult> {
-    for (const member of this._listByMemberId(pair.memberId)) {
+    for (const member of this._listByMemberId(identity.memberId)) {
       if (this._isAlive(leadership, member)) {
         return refuse(
-          `Member ${pair.memberId} is running with another disk; stop it, or choose another member id.`,
+          `Member ${identity.memberId} is running with another disk; stop it, or choose another member id.`,
         );
       }
       const result = await this._removeMember(leadership, member, signal);
@@ -197,11 +209,12 @@
   }
 
   private _isAlive(leadership: Leadership, member: Member): boolean {
-    if (isSamePair(toPair(member), this._state.pair)) {
+    if (isSameMember(getMemberIdentity(member), this._state.identity)) {
       return true;
     }
-    const contactAt = leadership.getContact(toPair(member)) ?? Number.NEGATIVE_INFINITY;
-    return this._state.clock.now() - contactAt < this._timings.electionMaxMs;
+    const contactAt =
+      leadership.getLastContactAt(getMemberIdentity(member)) ?? Number.NEGATIVE_INFINITY;
+    return this._state.clock.now() - contactAt < this._timings.maxElectionTimeoutMs;
   }
 
   private _removeMember(
@@ -213,17 +226,18 @@
     if (voters.length === 1 && member.voter) {
       return Promise.resolve(refuse(`Member ${member.id} is the only voter; add another first.`));
     }
-    const remove = (membership: Membership): Membership => removePair(membership, toPair(member));
+    const remove = (membership: Membership): Membership =>
+      removeMember(membership, getMemberIdentity(member));
     return this._applyChange(leadership, remove, signal);
   }
 
-  /** Waits until the change before is committed, then commits the next one. */
+  /** Waits until the previous change is committed, then commits the next one. */
   private async _applyChange(
     leadership: Leadership,
     edit: (membership: Membership) => Membership | undefined,
     signal: AbortSignal,
   ): Promise<ChangeResult> {
-    const settled = await this._settleChange(leadership, signal);
+    const settled = await this._waitForPendingChange(leadership, signal);
     if (!settled.ok) {
       return settled;
     }
@@ -231,34 +245,39 @@
     if (membership === undefined) {
       return refuse('The membership changed meanwhile; try again.');
     }
-    const members = membership.members.map((member) => formatPair(toPair(member)));
+    const members = membership.members.map((member) =>
+      formatMemberIdentity(getMemberIdentity(member)),
+    );
     this._state.log.info('membership change', { members });
     const result = await leadership.propose({ case: 'membership', value: membership }, signal);
     return result.ok ? Ok(undefined) : Err(result.val);
   }
 
-  private async _settleChange(leadership: Leadership, signal: AbortSignal): Promise<ChangeResult> {
+  private async _waitForPendingChange(
+    leadership: Leadership,
+    signal: AbortSignal,
+  ): Promise<ChangeResult> {
     while (!leadership.canChangeMembership) {
       if (isAborted(leadership.signal) || isAborted(signal)) {
         return refuse('An earlier membership change is not committed yet; try again.');
       }
-      await sleep(this._timings.heartbeatMs, signal);
+      await sleep(this._timings.heartbeatIntervalMs, signal);
     }
     return Ok(undefined);
   }
 
   private _findReadyLearner(leadership: Leadership): Member | undefined {
     return this._state.membership.members.find(
-      (member) => !member.voter && this._isReady(leadership, toPair(member)),
+      (member) => !member.voter && this._isReadyForPromotion(leadership, getMemberIdentity(member)),
     );
   }
 
-  private _isFull(): boolean {
+  private _hasMaxVoters(): boolean {
     const { maxVoters } = this._policy ?? { maxVoters: Number.POSITIVE_INFINITY };
     return listVoters(this._state.membership).length >= maxVoters;
   }
 
-  /** A voter that has been silent for so long that a learner takes its place. */
+  /** A voter that has not answered for `lostVoterMs`; undefined without a policy. */
   private _findLostVoter(leadership: Leadership): Member | undefined {
     const policy = this._policy;
     if (policy === undefined) {
@@ -266,21 +285,21 @@
     }
     const now = this._state.clock.now();
     return listVoters(this._state.membership).find((voter) => {
-      const pair = toPair(voter);
-      const contactAt = leadership.getContact(pair) ?? now;
-      return !isSamePair(pair, this._state.pair) && now - contactAt > policy.lostVoterMs;
+      const identity = getMemberIdentity(voter);
+      const contactAt = leadership.getLastContactAt(identity) ?? now;
+      return !isSameMember(identity, this._state.identity) && now - contactAt > policy.lostVoterMs;
     });
   }
 
-  private _isReady(leadership: Leadership, pair: IMemberPair): boolean {
+  private _isReadyForPromotion(leadership: Leadership, identity: IMemberIdentity): boolean {
     const { commitIndex, store, membership } = this._state;
-    const isCaughtUp = leadership.getMatchIndex(pair) >= commitIndex;
-    const isKnown = listVoters(membership).every((voter) => {
-      const isBehind = leadership.getMatchIndex(toPair(voter)) < store.membership.index;
-      const isSelf = isSamePair(toPair(voter), this._state.pair);
+    const isCaughtUp = leadership.getMatchIndex(identity) >= commitIndex;
+    const isKnownToVoters = listVoters(membership).every((voter) => {
+      const isBehind = leadership.getMatchIndex(getMemberIdentity(voter)) < store.membership.index;
+      const isSelf = isSameMember(getMemberIdentity(voter), this._state.identity);
       return isSelf || !this._isAlive(leadership, voter) || !isBehind;
     });
-    return leadership.canChangeMembership && isCaughtUp && isKnown;
+    return leadership.canChangeMembership && isCaughtUp && isKnownToVoters;
   }
 }
 
--- a/src/consensus/Memberships.ts
+++ b/src/consensus/Memberships.ts
@@ -1,4 +1,4 @@
-/** Questions about a membership, and its single-step changes. A member is a pair of member and disk id. */
+/** Pure functions that query a membership or derive the next one by changing a single member. */
 import { create } from '@bufbuild/protobuf';
 import { encodeHex, hasSameBytes } from '../common/Hashes.js';
 import {
@@ -7,38 +7,38 @@
   type Membership,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 
-/** The pair that identifies a member. */
-export interface IMemberPair {
+/** Identifies a member. A member whose disk is replaced keeps its member id but gets a new disk id. */
+export interface IMemberIdentity {
   readonly memberId: string;
   readonly diskId: Uint8Array;
 }
 
-/** Key of a pair in maps. */
-export function formatPair(pair: IMemberPair): string {
-  return `${pair.memberId}/${encodeHex(pair.diskId)}`;
+/** Formats an identity for use as a map key and in messages. */
+export function formatMemberIdentity(identity: IMemberIdentity): string {
+  return `${identity.memberId}/${encodeHex(identity.diskId)}`;
 }
 
-export function toPair(member: Member): IMemberPair {
+export function getMemberIdentity(member: Member): IMemberIdentity {
   return { memberId: member.id, diskId: member.diskId };
 }
 
-export function isSamePair(left: IMemberPair, right: IMemberPair): boolean {
+export function isSameMember(left: IMemberIdentity, right: IMemberIdentity): boolean {
   return left.memberId === right.memberId && hasSameBytes(left.diskId, right.diskId);
 }
 
-export function findMember(membership: Membership, pair: IMemberPair): Member | undefined {
-  return membership.members.find((member) => isSamePair(toPair(member), pair));
+export function findMember(membership: Membership, identity: IMemberIdentity): Member | undefined {
+  return membership.members.find((member) => isSameMember(getMemberIdentity(member), identity));
 }
 
 export function listVoters(membership: Membership): Member[] {
   return membership.members.filter((member) => member.voter);
 }
 
-export function isVoter(membership: Membership, pair: IMemberPair): boolean {
-  return findMember(membership, pair)?.voter === true;
+export function isVoter(membership: Membership, identity: IMemberIdentity): boolean {
+  return findMember(membership, identity)?.voter === true;
 }
 
-/** Voters that form a majority. */
+/** Number of voters that form a majority. */
 export function countMajority(membership: Membership): number {
   return Math.floor(listVoters(membership).length / 2) + 1;
 }
@@ -54,31 +54,41 @@
   return values[countMajority(membership) - 1] ?? Number.NEGATIVE_INFINITY;
 }
 
-export function removePair(membership: Membership, pair: IMemberPair): Membership {
-  const members = membership.members.filter((member) => !isSamePair(toPair(member), pair));
+export function removeMember(membership: Membership, identity: IMemberIdentity): Membership {
+  const members = membership.members.filter(
+    (member) => !isSameMember(getMemberIdentity(member), identity),
+  );
   return create(MembershipSchema, { members });
 }
 
-export function addLearner(membership: Membership, pair: IMemberPair, address: string): Membership {
-  const learner = { id: pair.memberId, diskId: pair.diskId, address, voter: false };
+export function addLearner(
+  membership: Membership,
+  identity: IMemberIdentity,
+  address: string,
+): Membership {
+  const learner = { id: identity.memberId, diskId: identity.diskId, address, voter: false };
   return create(MembershipSchema, { members: [...membership.members, learner] });
 }
 
-export function promoteLearner(membership: Membership, pair: IMemberPair): Membership {
-  return replaceMember(membership, pair, { voter: true });
+export function promoteLearner(membership: Membership, identity: IMemberIdentity): Membership {
+  return replaceMember(membership, identity, { voter: true });
 }
 
-export function moveMember(membership: Membership, pair: IMemberPair, address: string): Membership {
-  return replaceMember(membership, pair, { address });
+export function updateMemberAddress(
+  membership: Membership,
+  identity: IMemberIdentity,
+  address: string,
+): Membership {
+  return replaceMember(membership, identity, { address });
 }
 
 function replaceMember(
   membership: Membership,
-  pair: IMemberPair,
+  identity: IMemberIdentity,
   change: { readonly voter?: boolean; readonly address?: string },
 ): Membership {
   const members = membership.members.map((member) =>
-    isSamePair(toPair(member), pair) ? { ...member, ...change } : member,
+    isSameMember(getMemberIdentity(member), identity) ? { ...member, ...change } : member,
   );
   return create(MembershipSchema, { members });
 }
--- a/src/consensus/Exclusive.ts
+++ b/src/consensus/Mutex.ts
@@ -1,5 +1,5 @@
-/** Runs asynchronous steps one after another, in the order of the calls. */
-export class Exclusive {
+/** Runs asynchronous steps one at a time, in the order of the calls. A failed step blocks no later one. */
+export class Mutex {
   private _last: Promise<unknown> = Promise.resolve();
 
   public run<T>(step: () => Promise<T>): Promise<T> {
--- a/src/consensus/ProposeRate.test.ts
+++ b/src/consensus/ProposeRate.test.ts
@@ -3,19 +3,19 @@
 import { ListMachine, TestCluster } from './TestCluster.js';
 import { DEFAULT_TIMINGS } from './Timings.js';
 
-/** RWW_MEASURE=1 runs for longer and prints figures, which depend on the disk. */
+/** RWW_MEASURE=1 runs longer and prints throughput and latency, which depend on the disk. */
 const IS_MEASURING = process.env.RWW_MEASURE === '1';
 
 const DURATION_MS = IS_MEASURING ? 4_000 : 200;
 
-/** Size of the state and so of each snapshot. */
+/** Size of the state, and so of each snapshot. */
 const STATE_BYTES = Number(process.env.RWW_STATE_BYTES ?? 64 * 1024);
 
 const COMMAND = Buffer.alloc(200, 'x');
 
 const NANOSECONDS_PER_MS = 1e6;
 
-/** Counts commands; its state has a fixed size, so that its growth doesn't change the figures. */
+/** Counts commands; the state has a fixed size, so that throughput does not depend on its growth. */
 class CountingMachine extends ListMachine {
   public count = 0;
 
@@ -42,7 +42,7 @@
   readonly p99Ms: number;
 }
 
-/** Proposes in closed loops from concurrent callers. */
+/** Proposes from concurrent callers, each of which waits for its result before the next proposal. */
 async function measureProposals(group: TestCluster, callers: number): Promise<IFigures> {
   const leader = await group.waitForLeader();
   const histogram = createHistogram();
@@ -66,7 +66,7 @@
 }
 
 describe('Concurrent proposals', () => {
-  it('applies each command of many callers once, although they share syncs and appends', async () => {
+  it('applies each command exactly once when concurrent callers share disk syncs and appends', async () => {
     const createMachine = (): CountingMachine => new CountingMachine(() => undefined);
     const group = await TestCluster.create(3, 1, DEFAULT_TIMINGS, createMachine);
     try {
--- a/src/consensus/RandomFaults.test.ts
+++ b/src/consensus/RandomFaults.test.ts
@@ -9,7 +9,7 @@
   type ITestMember,
 } from './TestCluster.js';
 
-/** Seeds to run; RWW_SEED runs one other seed and RWW_SEEDS a number of them. */
+/** RWW_SEED sets the first seed, and without RWW_SEEDS the only one; RWW_SEEDS sets their number. */
 const FIRST_SEED = Number(process.env.RWW_SEED ?? 1);
 const SEED_COUNT = Number(process.env.RWW_SEEDS ?? (process.env.RWW_SEED ? 1 : 4));
 
@@ -26,7 +26,7 @@
   cluster = undefined;
 });
 
-/** Proposes commands until stopped; returns those that were acknowledged, with their index. */
+/** Proposes commands until the signal is aborted; returns the acknowledged ones with their index. */
 async function runClient(
   group: TestCluster,
   name: string,
@@ -36,8 +36,8 @@
   for (let n = 0; !signal.aborted; n += 1) {
     const command = `${name}-${n}`;
     const leader = group.findLeader();
-    const limit = AbortSignal.timeout(500);
-    const result = await leader?.log.propose(Buffer.from(command), limit);
+    const timeout = AbortSignal.timeout(500);
+    const result = await leader?.log.propose(Buffer.from(command), timeout);
     if (result?.ok === true) {
       acknowledged.set(command, result.val.index);
     } else {
@@ -101,7 +101,7 @@
       try {
         for (let round = 0; round < ROUNDS; round += 1) {
           history.push(await injectFault(group, random));
-          // Losing the next disk before the group is whole again may lose data by design.
+          // Losing another disk before the group is repaired may lose data by design.
           await group.waitForVoters(MEMBER_IDS.length);
         }
         stopping.abort();
@@ -113,7 +113,7 @@
           await waitUntil('it applied all', () => member.machine.commands.includes('last'));
           expect(member.machine.commands).toEqual(commands);
         }
-        expect(group.faults).toEqual([]);
+        expect(group.safetyViolations).toEqual([]);
       } catch (error) {
         console.error(`Failed with RWW_SEED=${seed} after: ${history.join(', ')}`);
         console.error([...group.members.values()].map(describeMember).join('\n'));
@@ -128,21 +128,23 @@
 
 function describeMember(member: ITestMember): string {
   const { role, term, commitIndex, appliedIndex, membership } = member.log.status;
-  const voters = membership.members.map((each) => `${each.id}:${each.voter ? 'voter' : 'learner'}`);
+  const voters = membership.members.map(
+    (entry) => `${entry.id}:${entry.voter ? 'voter' : 'learner'}`,
+  );
   const failure = member.log.failure === undefined ? 'none' : describeError(member.log.failure);
   return `${member.id} ${role} term ${term} commit ${commitIndex} applied ${appliedIndex} ${voters.join()} failure ${failure} commands ${member.machine.commands.length}`;
 }
 
-/** Every acknowledged command is there once, in the order of the acknowledged indexes. */
+/** Expects every acknowledged command exactly once, in the order of the acknowledged indexes. */
 function checkOrder(
   acknowledged: readonly (readonly [string, number])[],
   commands: readonly string[],
 ): void {
-  const position = new Map(commands.map((command, place) => [command, place]));
-  expect(position.size).toBe(commands.length);
+  const positionByCommand = new Map(commands.map((command, position) => [command, position]));
+  expect(positionByCommand.size).toBe(commands.length);
   const sorted = [...acknowledged].sort((left, right) => left[1] - right[1]);
-  const places = sorted.map(([command]) => position.get(command) ?? -1);
-  expect(places).not.toContain(-1);
-  expect(places).toEqual([...places].sort((left, right) => left - right));
+  const positions = sorted.map(([command]) => positionByCommand.get(command) ?? -1);
+  expect(positions).not.toContain(-1);
+  expect(positions).toEqual([...positions].sort((left, right) => left - right));
   expect(acknowledged.length).toBeGreaterThan(0);
 }
--- a/src/consensus/ReplicatedLog.test.ts
+++ b/src/consensus/ReplicatedLog.test.ts
@@ -14,17 +14,17 @@
 
 let cluster: TestCluster | undefined;
 
-/** Parts of the faults that a test provokes; others fail it. */
-let expectedFaults: string[] = [];
+/** Substrings of the safety violations that a test provokes; any other violation fails it. */
+let expectedViolations: string[] = [];
 
 afterEach(async () => {
-  const faults = cluster?.faults ?? [];
+  const violations = cluster?.safetyViolations ?? [];
   await cluster?.dispose();
   cluster = undefined;
-  expect(faults.filter((fault) => !expectedFaults.some((text) => fault.includes(text)))).toEqual(
-    [],
-  );
-  expectedFaults = [];
+  expect(
+    violations.filter((violation) => !expectedViolations.some((text) => violation.includes(text))),
+  ).toEqual([]);
+  expectedViolations = [];
 });
 
 const FOREVER = new AbortController().signal;
@@ -36,8 +36,9 @@
 }
 
 /**
- * Every acknowledged command is there, none twice, and none that was not proposed. On a busy machine a
- * try may end without a known outcome and be committed later, besides its repetition under another name.
+ * Expects every acknowledged command, none twice, and none that was not proposed. On a busy machine an
+ * attempt may time out with an unknown outcome and be committed later, next to its retry under another
+ * name.
  */
 function expectCommitted(commands: readonly string[], acknowledged: readonly string[]): void {
   expect(commands).toEqual(expect.arrayContaining([...acknowledged]));
@@ -52,7 +53,7 @@
 }
 
 describe('ReplicatedLog', () => {
-  it('applies commands in one order on all members and returns the result of the machine', async () => {
+  it('applies commands in the same order on all members and returns the state machine result', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const result = await leader.log.propose(Buffer.from('first'), FOREVER);
@@ -63,7 +64,7 @@
     expectCommitted(await cluster.waitForAgreement(), ['first', ...names]);
   });
 
-  it('names the leader when another member is asked', async () => {
+  it('rejects a proposal to a follower and names the leader', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const follower = cluster.get(listFollowers(cluster, leader.id)[0] ?? '');
@@ -73,7 +74,7 @@
     expect(follower.log.getConfirmedAt()).toBeUndefined();
   });
 
-  it('elects another leader when the leader is killed and loses nothing', async () => {
+  it('elects another leader when the leader is killed, and keeps every acknowledged command', async () => {
     cluster = await TestCluster.create(3);
     const names = await commitMany(cluster, 'before', 20);
     const leader = await cluster.waitForLeader();
@@ -83,7 +84,7 @@
     expect(await cluster.waitForAgreement()).toEqual(expect.arrayContaining(names));
   });
 
-  it('commits and confirms nothing on a leader that is cut off for long', async () => {
+  it('commits and confirms nothing on a leader that stays isolated', async () => {
     cluster = await TestCluster.create(3);
     const old = await cluster.waitForLeader();
     const cutAt = performance.now();
@@ -92,9 +93,9 @@
     const next = await cluster.waitForLeader(old.id);
     const kept = await cluster.commit('kept');
     expect((await lost).val).toMatchObject({ kind: 'indeterminate' });
-    // Several election timeouts; the old leader must neither confirm nor raise its term meanwhile.
+    // For several election timeouts the old leader must neither confirm its lead nor raise its term.
     const { term } = old.log.status;
-    await sleep(3 * TEST_TIMINGS.electionMaxMs, FOREVER);
+    await sleep(3 * TEST_TIMINGS.maxElectionTimeoutMs, FOREVER);
     expect(old.log.getConfirmedAt()).toBeUndefined();
     expect(old.log.status.role).not.toBe('leader');
     expect(old.log.status.term).toBe(term);
@@ -106,7 +107,7 @@
     expect(next.log.status).toMatchObject({ role: 'leader', term: nextTerm });
   });
 
-  it('never confirms a time after the cut while the old leader still believes that it leads', async () => {
+  it('confirms no time after the partition while the old leader has not stepped down yet', async () => {
     cluster = await TestCluster.create(3);
     const old = await cluster.waitForLeader();
     cluster.network.cut(old.address);
@@ -118,20 +119,20 @@
     expect(performance.now() - cutAt).toBeGreaterThan(0);
   });
 
-  it('follows a leader whose links to one member are cut in one direction', async () => {
+  it('keeps its leader when the link to one member is cut in one direction', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
-    const [deaf] = listFollowers(cluster, leader.id);
-    cluster.network.cutLink(leader.address, cluster.get(deaf ?? '').address);
-    await sleep(3 * TEST_TIMINGS.electionMaxMs, FOREVER);
-    // The member that hears nothing asks for pre-votes; that must not disturb the others.
+    const [isolated] = listFollowers(cluster, leader.id);
+    cluster.network.cutLink(leader.address, cluster.get(isolated ?? '').address);
+    await sleep(3 * TEST_TIMINGS.maxElectionTimeoutMs, FOREVER);
+    // The isolated member requests pre-votes; the others must refuse them and keep their leader.
     expect(leader.log.status.role).toBe('leader');
     await cluster.commit('still committed');
   });
 });
 
 describe('Membership', () => {
-  it('loses nothing when two disks are lost in sequence with a repair between', async () => {
+  it('keeps every acknowledged command when two disks are lost one after the other, with a repair between', async () => {
     cluster = await TestCluster.create(3);
     const names: string[] = [];
     for (const round of [1, 2]) {
@@ -149,7 +150,7 @@
     expect(await cluster.waitForAgreement()).toEqual(expect.arrayContaining(names));
   });
 
-  it('needs both survivors until a lost disk is replaced, so that no entry is on one disk only', async () => {
+  it('needs both surviving voters until a lost disk is replaced, so that no commit is on a single disk', async () => {
     cluster = await TestCluster.create(3);
     await commitMany(cluster, 'before', 5);
     const leader = await cluster.waitForLeader();
@@ -157,17 +158,17 @@
     const oldDisk = cluster.get(lost).log.status.diskId;
     await cluster.kill(lost);
     await cluster.deleteDisk(lost);
-    // The empty disk reaches the group for its admission, but gets no entries, so it stays a learner.
+    // The empty disk can send its join request but receives no entries, so it stays a learner.
     cluster.network.cutLink(leader.address, 'node-' + lost.slice(1));
     await cluster.startMember(lost);
-    await waitUntil('the old pair is replaced', () => {
+    await waitUntil('the old disk is replaced', () => {
       const { members } = leader.log.status.membership;
       return members.some((member) => member.id === lost && !member.voter);
     });
     const { members } = leader.log.status.membership;
     expect(members.some((member) => Buffer.compare(member.diskId, oldDisk) === 0)).toBe(false);
     await cluster.commit('on both survivors');
-    await sleep(10 * TEST_TIMINGS.heartbeatMs, FOREVER);
+    await sleep(10 * TEST_TIMINGS.heartbeatIntervalMs, FOREVER);
     const learner = leader.log.status.membership.members.find((member) => member.id === lost);
     expect(learner?.voter).toBe(false);
     cluster.network.cut(cluster.get(survivor).address);
@@ -175,7 +176,7 @@
     expect(leader.machine.commands).not.toContain('on one disk');
   });
 
-  it('replaces a lost voter by a new member, and takes it back when it returns', async () => {
+  it('replaces a lost voter by a new member, and makes it a voter again when it returns', async () => {
     const policy = { lostVoterMs: 1_000, minVoters: 3, maxVoters: 3 };
     const group = await TestCluster.create(3, 1, TEST_TIMINGS, undefined, policy);
     cluster = group;
@@ -189,7 +190,7 @@
       const voters = members.filter((member) => member.voter).map((member) => member.id);
       return voters.length === 3 && voters.includes('m4') && !voters.includes(lost);
     });
-    // With the lost one still counted, three of four would be needed now.
+    // If the lost voter still counted, a majority would be three of four.
     await cluster.kill(survivor === leader.id ? leader.id : survivor);
     names.push(await cluster.commit('after the next loss'));
     await cluster.startMember(lost);
@@ -200,7 +201,7 @@
     expect(await cluster.waitForAgreement()).toEqual(expect.arrayContaining(names));
   });
 
-  it('removes a lost voter while three others are left, so that the next loss is borne', async () => {
+  it('removes a lost voter while three others remain, so that the group tolerates the next loss', async () => {
     const policy = { lostVoterMs: 1_000, minVoters: 3, maxVoters: 7 };
     const group = await TestCluster.create(4, 1, TEST_TIMINGS, undefined, policy);
     cluster = group;
@@ -219,7 +220,7 @@
     expect(await group.waitForAgreement()).toContain(name);
   });
 
-  it('loses nothing when a second member is lost right after a repair', async () => {
+  it('keeps every acknowledged command when a second disk is lost right after a repair', async () => {
     cluster = await TestCluster.create(3);
     const names = await commitMany(cluster, 'before', 20);
     const first = await cluster.waitForLeader();
@@ -239,14 +240,15 @@
     expect(await cluster.waitForAgreement()).toEqual(expect.arrayContaining(names));
   });
 
-  it('grants and counts no vote of a pair outside the membership', async () => {
+  it('grants no vote to a member id and disk id outside the membership', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const [id = ''] = listFollowers(cluster, leader.id);
     const follower = cluster.get(id);
-    // Without contact to a leader it would vote for a member; only the pair makes the difference.
+    // Isolated from the leader, the follower would vote for a member: only the identity of the sender can
+    // be the reason to refuse.
     cluster.network.cut(follower.address);
-    await sleep(2 * TEST_TIMINGS.electionMinMs, FOREVER);
+    await sleep(2 * TEST_TIMINGS.minElectionTimeoutMs, FOREVER);
     const before = follower.log.status;
     const createVote = (sender: Partial<Sender>, preVote: boolean): VoteRequest =>
       create(VoteRequestSchema, {
@@ -259,12 +261,12 @@
         lastTerm: BigInt(before.term + 49),
         preVote,
       });
-    const strangers: Partial<Sender>[] = [
+    const nonMembers: Partial<Sender>[] = [
       { memberId: leader.id, diskId: new Uint8Array(16) },
       { memberId: 'stranger', diskId: before.diskId },
       { memberId: before.memberId, diskId: before.diskId, clusterId: new Uint8Array(16) },
     ];
-    for (const sender of strangers) {
+    for (const sender of nonMembers) {
       for (const preVote of [true, false]) {
         const response = await follower.log.handlers.requestVote(createVote(sender, preVote));
         expect(response.granted).toBe(false);
@@ -279,7 +281,7 @@
     expect(leader.log.status).toMatchObject({ role: 'leader', term: before.term });
   });
 
-  it('refuses a second process under the id of a running member', async () => {
+  it('refuses to admit a second process with the member id of a running member', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const [id = ''] = listFollowers(cluster, leader.id);
@@ -298,7 +300,7 @@
     expect(leader.log.status.membership.members).toHaveLength(3);
   });
 
-  it('removes a member for good, and the removed disk neither votes nor returns', async () => {
+  it('removes a member for good: its disk neither votes nor joins again', async () => {
     cluster = await TestCluster.create(3);
     await cluster.commit('before');
     const leader = await cluster.waitForLeader();
@@ -308,7 +310,7 @@
     expect(unknown.val).toMatchObject({ kind: 'refused' });
     (await leader.log.removeMember(id, FOREVER)).unwrap();
     await cluster.startMember(id);
-    await sleep(2 * TEST_TIMINGS.electionMaxMs, FOREVER);
+    await sleep(2 * TEST_TIMINGS.maxElectionTimeoutMs, FOREVER);
     expect(leader.log.status).toMatchObject({ role: 'leader' });
     expect(leader.log.status.membership.members.map((member) => member.id)).not.toContain(id);
     await cluster.commit('after');
@@ -326,7 +328,7 @@
 });
 
 describe('Restart', () => {
-  it('uses the snapshot after hundreds of commands, and members behind it receive it', async () => {
+  it('restarts from the snapshot after hundreds of commands and sends it to members that are behind', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const [behind = ''] = listFollowers(cluster, leader.id);
@@ -351,7 +353,7 @@
     expectCommitted(commands, names);
   });
 
-  it('cuts a torn tail and keeps every acknowledged command', async () => {
+  it('truncates a torn log tail and keeps every acknowledged command', async () => {
     cluster = await TestCluster.create(3);
     const names = await commitMany(cluster, 'before', 20);
     await cluster.waitForAgreement();
@@ -368,7 +370,7 @@
     expect(await cluster.waitForAgreement()).toEqual(expect.arrayContaining(names));
   });
 
-  it('refuses log files without hard state, hard state without log files, and a foreign directory', async () => {
+  it('refuses log files without hard state, and hard state without log files', async () => {
     cluster = await TestCluster.create(1);
     await cluster.commit('x');
     const path = cluster.getPath('m1');
@@ -412,14 +414,14 @@
       ],
       leaderAddress: leader.address,
     });
-    expectedFaults = ['would overwrite'];
+    expectedViolations = ['would overwrite'];
     await expect(follower.log.handlers.appendEntries(request)).rejects.toThrow('overwrite');
     expect(follower.log.failure).toMatchObject({ name: 'InvariantError' });
     const result = await follower.log.propose(Buffer.from('x'), FOREVER);
     expect(result.val).toMatchObject({ kind: 'stopped' });
   });
 
-  it('stops a member that sees two leaders of one term', async () => {
+  it('stops a member that receives appends from two leaders of one term', async () => {
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const [one = '', two = ''] = listFollowers(cluster, leader.id);
@@ -429,7 +431,7 @@
     const { diskId } = cluster.get(two).log.status;
     const sender = { clusterId, term: BigInt(term), memberId: two, diskId };
     const request = create(AppendRequestSchema, { sender, leaderAddress: 'node-9' });
-    expectedFaults = ['two leaders'];
+    expectedViolations = ['two leaders'];
     await expect(follower.log.handlers.appendEntries(request)).rejects.toThrow('two leaders');
     expect(follower.log.failure).toMatchObject({ name: 'InvariantError' });
   });
--- a/src/consensus/ReplicatedLog.ts
+++ b/src/consensus/ReplicatedLog.ts
@@ -1,4 +1,4 @@
-/** A replicated log with terms, elections, snapshots and single-step membership changes. */
+/** A replicated log with leader election, snapshots and single-member membership changes. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
 import type { IClock } from '../common/Clock.js';
@@ -20,7 +20,7 @@
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { DataDirectory, type IDataDirectory } from '../storage/DataDirectory.js';
 import { StorageError } from '../storage/StorageError.js';
-import { ConsensusStore, initialiseStore, type IFoundedGroup } from './ConsensusStore.js';
+import { ConsensusStore, initialiseStore, type IGroupIdentity } from './ConsensusStore.js';
 import { Elections } from './Elections.js';
 import { Follower } from './Follower.js';
 import { Leadership } from './Leadership.js';
@@ -38,16 +38,17 @@
   IStateMachine,
 } from './Types.js';
 
-/** What a member is made of. */
+/** Configuration and dependencies of a member. */
 export interface IReplicatedLogOptions {
   readonly memberId: string;
-  /** Address under which other members reach this one. */
+  /** Address at which other members reach this one. */
   readonly address: string;
-  /** Addresses to ask for admission while the disk is empty; they may change meanwhile. */
+  /** Addresses to which join requests are sent; read again for each round. */
   readonly listPeers: () => readonly string[];
   /**
-   * Replaces lost voters by learners, and lets a member that was replaced while it was cut off join again.
-   * Without it only an operator changes the voters of a group, and removed members stay removed.
+   * Lets the leader replace lost voters by learners, and a member that was replaced while it was
+   * unreachable join again. Without a policy only an operator changes the voters of a group, and removed
+   * members stay removed.
    */
   readonly policy?: IMembershipPolicy;
   readonly machine: IStateMachine;
@@ -55,7 +56,7 @@
   readonly clock: IClock;
   readonly log: ILog;
   readonly timings: IConsensusTimings;
-  /** Numbers from 0 to 1, for election timeouts. */
+  /** Returns numbers from 0 to 1 that randomise election timeouts and join intervals. */
   readonly random: () => number;
 }
 
@@ -68,7 +69,8 @@
 }
 
 /**
- * Makes an empty directory the founding member of a new group.
+ * Bootstraps a new group in an empty directory, with this member as its only voter. `skipsLock` opens the
+ * directory without its lock file, see `DataDirectory.open`.
  *
  * @example
  * const founded = await initialiseDataFolder('/data', 'control-1', '10.0.0.1:7000');
@@ -77,10 +79,10 @@
   path: string,
   memberId: string,
   address: string,
-  isExclusive = false,
-): Promise<Result<IFoundedGroup, StorageError>> {
-  return runStorageStep(async () => {
-    const directory = await DataDirectory.open(path, isExclusive);
+  skipsLock = false,
+): Promise<Result<IGroupIdentity, StorageError>> {
+  return tryStorageOperation(async () => {
+    const directory = await DataDirectory.open(path, skipsLock);
     try {
       return await initialiseStore(directory, memberId, address);
     } finally {
@@ -89,7 +91,8 @@
   });
 }
 
-async function runStorageStep<T>(run: () => Promise<T>): Promise<Result<T, StorageError>> {
+/** Returns a thrown `StorageError` as a failure; other errors propagate. */
+async function tryStorageOperation<T>(run: () => Promise<T>): Promise<Result<T, StorageError>> {
   try {
     return Ok(await run());
   } catch (error) {
@@ -101,7 +104,7 @@
 }
 
 /**
- * One member of the group.
+ * One member of the group: opens its durable state, runs its tasks and serves the calls of other members.
  *
  * @example
  * const directory = await DataDirectory.open('/data');
@@ -119,7 +122,7 @@
 
   private readonly _state: MemberState;
   private readonly _elections: Elections;
-  private readonly _changes: MembershipChanges;
+  private readonly _membershipChanges: MembershipChanges;
   private _tasks: Promise<unknown> = Promise.resolve();
 
   constructor(
@@ -129,7 +132,7 @@
     const { address, clock, log, machine, transport, timings, random } = _options;
     const state = new MemberState(_store, address, clock, log, machine);
     this._state = state;
-    this._changes = new MembershipChanges(state, timings, _options.policy);
+    this._membershipChanges = new MembershipChanges(state, timings, _options.policy);
     this._elections = new Elections(state, transport, timings, random, () => {
       this._startLeadership();
     });
@@ -144,12 +147,15 @@
     };
   }
 
-  /** Opens the durable state and restores the last snapshot. Refuses damaged or foreign state. */
+  /**
+   * Opens the durable state and restores the last snapshot. Fails if the state is damaged or belongs to
+   * another member.
+   */
   public static open(
     directory: IDataDirectory,
     options: IReplicatedLogOptions,
   ): Promise<Result<ReplicatedLog, StorageError>> {
-    return runStorageStep(async () => {
+    return tryStorageOperation(async () => {
       const store = await ConsensusStore.open(directory, options.memberId);
       const file = await store.readSnapshot();
       if (file !== undefined) {
@@ -168,10 +174,10 @@
     return this._state.failure;
   }
 
-  /** Starts the tasks of this member. */
+  /** Starts the election and join tasks. */
   public start(): void {
     const { signal } = this._state;
-    const tasks = [this._elections.run(signal), this._joinWhileUnknown(signal)];
+    const tasks = [this._elections.run(signal), this._joinWhenNeeded(signal)];
     this._tasks = Promise.all(tasks).catch((error: unknown) => {
       this._state.fail(error);
     });
@@ -195,22 +201,24 @@
   }
 
   /**
-   * Removes a member for good; leader only. Stop its process first: an empty disk that still runs asks
-   * to join again.
+   * Removes a member for good; leader only. Stop its process first: a running member whose disk is empty
+   * would send join requests again.
    */
   public async removeMember(
     memberId: string,
     signal: AbortSignal,
   ): Promise<Result<void, MembershipFailure>> {
     const leadership = this._requireLeadership();
-    return leadership.ok ? this._changes.remove(leadership.val, memberId, signal) : leadership;
+    return leadership.ok
+      ? this._membershipChanges.remove(leadership.val, memberId, signal)
+      : leadership;
   }
 
-  /** Ends the tasks and closes the log. The data directory is closed by its owner. */
+  /** Stops the tasks and closes the log. The caller closes the data directory. */
   public async stop(): Promise<void> {
     this._state.stop();
     await this._tasks;
-    await this._state.exclusive.run(() => this._store.close());
+    await this._state.mutex.run(() => this._store.close());
     this._state.roleChanges.dispose();
   }
 
@@ -229,7 +237,7 @@
   private _startLeadership(): void {
     const { transport, timings } = this._options;
     const leadership = new Leadership(this._state, transport, timings, (active) => {
-      this._changes.promoteIfReady(active);
+      this._membershipChanges.reconcileVoters(active);
     });
     this._state.startLeadership(leadership);
     leadership.start();
@@ -251,14 +259,15 @@
   private _handleJoin(request: JoinRequest, signal: AbortSignal): Promise<JoinResponse> {
     const { leadership } = this._state;
     const active = leadership instanceof Leadership ? leadership : undefined;
-    return this._changes.handleJoin(active, request, signal);
+    return this._membershipChanges.handleJoin(active, request, signal);
   }
 
   /**
-   * Asks for admission while the disk is empty, and for a new address when the membership has another
-   * one. A disk with entries that is not in the membership was removed and does not ask.
+   * Sends join requests while the disk is empty, and when the membership has an outdated address of this
+   * member. A disk with entries that is not in the membership was removed, or replaced under a policy; only
+   * with a policy does it ask to join again.
    */
-  private async _joinWhileUnknown(signal: AbortSignal): Promise<void> {
+  private async _joinWhenNeeded(signal: AbortSignal): Promise<void> {
     let leaderAddress: string | undefined;
     while (!isAborted(signal)) {
       if (this._needsJoin()) {
@@ -269,7 +278,10 @@
           }
         }
       }
-      await sleep(addJitter(this._options.timings.joinRetryMs, this._options.random), signal);
+      await sleep(
+        addJitter(this._options.timings.joinRetryIntervalMs, this._options.random),
+        signal,
+      );
     }
   }
 
@@ -277,15 +289,15 @@
     if (this._store.lastIndex === 0) {
       return true;
     }
-    const self = findMember(this._state.membership, this._state.pair);
+    const self = findMember(this._state.membership, this._state.identity);
     if (self?.address === this._options.address) {
-      return this._mayBeReplaced();
+      return this._mayHaveBeenReplaced();
     }
     return self !== undefined || this._options.policy !== undefined;
   }
 
-  /** True if no leader was heard of for so long that another member may have this one's place. */
-  private _mayBeReplaced(): boolean {
+  /** True if no leader was heard from for so long that another member may have replaced this one. */
+  private _mayHaveBeenReplaced(): boolean {
     const { policy, clock } = this._options;
     const { role, lastContactAt } = this._state;
     const silentMs = clock.now() - lastContactAt;
@@ -293,33 +305,33 @@
   }
 
   private _listJoinAddresses(leaderAddress: string | undefined): string[] {
-    const known = this._state.membership.members.map((member) => member.address);
-    const first = leaderAddress ?? this._state.leaderAddress;
+    const memberAddresses = this._state.membership.members.map((member) => member.address);
+    const preferred = leaderAddress ?? this._state.leaderAddress;
     const addresses = [
-      ...(first === undefined ? [] : [first]),
+      ...(preferred === undefined ? [] : [preferred]),
       ...this._options.listPeers(),
-      ...known,
+      ...memberAddresses,
     ];
     return [...new Set(addresses)].filter((address) => address !== this._options.address);
   }
 
-  /** Returns the address of the leader if the member at the address knows it. */
+  /** Sends one join request; returns the leader's address if the response names it. */
   private async _tryJoin(address: string, signal: AbortSignal): Promise<string | undefined> {
     const { transport, timings, log } = this._options;
     const request = create(JoinRequestSchema, {
-      memberId: this._state.pair.memberId,
-      diskId: this._state.pair.diskId,
+      memberId: this._state.identity.memberId,
+      diskId: this._state.identity.diskId,
       address: this._options.address,
       clusterId: this._store.clusterId,
     });
     try {
-      const response = await runWithLimit(signal, timings.joinMs, (limited) =>
+      const response = await runWithLimit(signal, timings.joinTimeoutMs, (limited) =>
         transport.join(address, request, limited),
       );
       if (response.accepted) {
-        await this._enterGroup(response.clusterId);
+        await this._joinGroup(response.clusterId);
       } else {
-        log.info('not admitted yet', { address, reason: response.reason });
+        log.info('join request refused', { address, reason: response.reason });
       }
       return response.leaderAddress === '' ? undefined : response.leaderAddress;
     } catch (error) {
@@ -331,12 +343,12 @@
     }
   }
 
-  private _enterGroup(clusterId: Uint8Array): Promise<void> {
-    return this._state.exclusive.run(async () => {
-      const known = this._store.clusterId;
-      if (known.length === 0) {
+  private _joinGroup(clusterId: Uint8Array): Promise<void> {
+    return this._state.mutex.run(async () => {
+      const currentClusterId = this._store.clusterId;
+      if (currentClusterId.length === 0) {
         await this._store.saveClusterId(clusterId);
-      } else if (!hasSameBytes(known, clusterId)) {
+      } else if (!hasSameBytes(currentClusterId, clusterId)) {
         this._options.log.error('a member of another group admitted this disk');
       }
     });
--- a/src/consensus/SoloLog.ts
+++ b/src/consensus/SoloLog.ts
@@ -1,4 +1,4 @@
-/** A log of one member in memory, for tests and measurements. */
+/** An in-memory log of a single member, for tests and benchmarks. */
 import { create } from '@bufbuild/protobuf';
 import type { IClock } from '../common/Clock.js';
 import { generateIdentifier } from '../common/Hashes.js';
@@ -13,7 +13,7 @@
   IStateMachine,
 } from './Types.js';
 
-/** Applies each command at once. Nothing survives the process. */
+/** Applies each command immediately. Nothing is stored on disk. */
 export class SoloLog implements IReplicatedLog {
   private readonly _roleEmitter = new Emitter<IConsensusStatus>();
   private readonly _diskId = generateIdentifier();
--- a/src/consensus/TestCluster.ts
+++ b/src/consensus/TestCluster.ts
@@ -1,4 +1,4 @@
-/** Members in one process for tests: an in-memory network with faults, and real data directories. */
+/** A group of members in one process for tests, with an in-memory network and real data directories. */
 import { fromBinary, toBinary, type DescMessage, type MessageShape } from '@bufbuild/protobuf';
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -18,51 +18,51 @@
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { DataDirectory } from '../storage/DataDirectory.js';
 import { initialiseDataFolder, ReplicatedLog, type IConsensusHandlers } from './ReplicatedLog.js';
-import { formatPair } from './Memberships.js';
+import { formatMemberIdentity } from './Memberships.js';
 import type { IConsensusTimings } from './Timings.js';
 import type { IConsensusTransport } from './Transport.js';
 import type { IConsensusStatus, IMembershipPolicy, IStateMachine } from './Types.js';
 
-/** Limit of a wait; far above what a busy machine takes, so that verdicts don't depend on load. */
-const WAIT_LIMIT_MS = 15_000;
+/** Far above the time that a busy machine needs, so that test results do not depend on its load. */
+const WAIT_TIMEOUT_MS = 15_000;
 
-const POLL_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
-/** For tests whose verdict needs a leader that stays, also on a busy machine. */
+/** For tests that need a stable leader, also on a busy machine. */
 export const TEST_TIMINGS: IConsensusTimings = {
-  heartbeatMs: 20,
-  electionMinMs: 350,
-  electionMaxMs: 700,
-  firstElectionMinMs: 350,
-  firstElectionMaxMs: 700,
-  callMs: 350,
-  joinRetryMs: 50,
-  joinMs: 1_000,
+  heartbeatIntervalMs: 20,
+  minElectionTimeoutMs: 350,
+  maxElectionTimeoutMs: 700,
+  minFirstElectionTimeoutMs: 350,
+  maxFirstElectionTimeoutMs: 700,
+  callTimeoutMs: 350,
+  joinRetryIntervalMs: 50,
+  joinTimeoutMs: 1_000,
 };
 
-/** For tests that allow any number of elections. */
+/** For tests that tolerate any number of elections. */
 export const SHORT_TIMINGS: IConsensusTimings = {
   ...TEST_TIMINGS,
-  electionMinMs: 150,
-  electionMaxMs: 300,
-  firstElectionMinMs: 150,
-  firstElectionMaxMs: 300,
-  callMs: 150,
+  minElectionTimeoutMs: 150,
+  maxElectionTimeoutMs: 300,
+  minFirstElectionTimeoutMs: 150,
+  maxFirstElectionTimeoutMs: 300,
+  callTimeoutMs: 150,
 };
 
-/** Waits until a condition holds. */
+/** Polls a condition until it holds; throws after `WAIT_TIMEOUT_MS`. */
 export async function waitUntil(what: string, condition: () => boolean): Promise<void> {
   const { signal } = new AbortController();
-  const limit = performance.now() + WAIT_LIMIT_MS;
+  const deadline = performance.now() + WAIT_TIMEOUT_MS;
   while (!condition()) {
-    if (performance.now() > limit) {
+    if (performance.now() > deadline) {
       throw new Error(`timed out waiting until ${what}`);
     }
-    await sleep(POLL_MS, signal);
+    await sleep(POLL_INTERVAL_MS, signal);
   }
 }
 
-/** Numbers from 0 to 1 that depend on the seed only. */
+/** Creates a deterministic generator of numbers from 0 to 1. */
 export function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -77,7 +77,7 @@
   return fromBinary(schema, toBinary(schema, message));
 }
 
-/** Calls between members; links can be cut, delayed and made lossy. */
+/** In-memory network between members. Links can be cut, delayed and made lossy. */
 export class FakeNetwork {
   public lossRate = 0;
   public maxDelayMs = 0;
@@ -94,12 +94,12 @@
     this._handlers.delete(address);
   }
 
-  /** Cuts a member off in both directions. */
+  /** Isolates a member in both directions. */
   public cut(address: string): void {
     this._cutLinks.add(address);
   }
 
-  /** Cuts the calls from one member to another and their responses. */
+  /** Drops the calls from one member to another, and their responses. */
   public cutLink(from: string, to: string): void {
     this._cutLinks.add(`${from}>${to}`);
   }
@@ -108,7 +108,7 @@
     this._cutLinks.clear();
   }
 
-  /** The transport of the member at an address. */
+  /** Creates the transport of the member at an address. */
   public createTransport(from: string): IConsensusTransport {
     return {
       requestVote: (to, request, signal) =>
@@ -143,7 +143,7 @@
       throw new Error('connection refused');
     }
     const response = copyMessage(schema, await deliver(handlers));
-    // A response is lost when its receiver was killed or cut off meanwhile.
+    // The response is lost if the caller was isolated or its call aborted meanwhile.
     await this._pass(from, to, signal);
     return response;
   }
@@ -154,7 +154,7 @@
     }
     const isCut = [from, to, `${from}>${to}`].some((link) => this._cutLinks.has(link));
     if (isCut || this._random() < this.lossRate) {
-      await sleep(WAIT_LIMIT_MS, signal);
+      await sleep(WAIT_TIMEOUT_MS, signal);
       throw new Error('message lost');
     }
     if (isAborted(signal)) {
@@ -163,12 +163,12 @@
   }
 }
 
-/** Keeps the applied commands in order. */
+/** State machine that lists the applied commands in order. */
 export class ListMachine implements IStateMachine {
   public commands: string[] = [];
   public restoreCount = 0;
 
-  constructor(private readonly _onApply: NoteApplied) {}
+  constructor(private readonly _onApply: ApplyListener) {}
 
   public apply(command: Uint8Array, index: number): Uint8Array {
     const text = Buffer.from(command).toString();
@@ -187,9 +187,9 @@
   }
 }
 
-type NoteApplied = (command: string, index: number) => void;
+type ApplyListener = (command: string, index: number) => void;
 
-type CreateMachine = (noteApplied: NoteApplied) => ListMachine;
+type CreateMachine = (onApply: ApplyListener) => ListMachine;
 
 /** A running member. */
 export interface ITestMember {
@@ -204,8 +204,11 @@
 export class TestCluster {
   public readonly network: FakeNetwork;
   public readonly members = new Map<string, ITestMember>();
-  /** Faults of safety: another command at an applied index, or two leaders of one term. */
-  public readonly faults: string[] = [];
+  /**
+   * Violated safety properties: two commands applied at one index, two leaders of one term, or a member
+   * that stopped because of an error.
+   */
+  public readonly safetyViolations: string[] = [];
   private readonly _applied = new Map<number, string>();
   private readonly _leaders = new Map<number, string>();
   private _logger: ILog = SILENT_LOG;
@@ -220,12 +223,12 @@
     this.network = new FakeNetwork(_random);
   }
 
-  /** Founds a group of `size` members and waits until all are voters. */
+  /** Bootstraps a group of `size` members and waits until all are voters. */
   public static async create(
     size: number,
     seed = 1,
     timings: IConsensusTimings = TEST_TIMINGS,
-    createMachine: CreateMachine = (noteApplied) => new ListMachine(noteApplied),
+    createMachine: CreateMachine = (onApply) => new ListMachine(onApply),
     policy?: IMembershipPolicy,
   ): Promise<TestCluster> {
     const root = await mkdtemp(join(tmpdir(), 'redwingwharf-consensus-'));
@@ -259,7 +262,7 @@
     const address = `node-${id.slice(1)}`;
     const directory = await DataDirectory.open(this.getPath(id));
     const machine = this._createMachine((command, index) => {
-      this._noteApplied(command, index);
+      this._checkAppliedCommand(command, index);
     });
     const opened = await ReplicatedLog.open(directory, {
       memberId: id,
@@ -281,16 +284,16 @@
     this.members.set(id, member);
     this.network.register(address, member.log.handlers);
     member.log.onRoleChange((status) => {
-      this._noteRole(status);
+      this._checkSingleLeader(status);
     });
     member.log.onFailure((error) => {
-      this.faults.push(`${id} stopped: ${describeError(error)}`);
+      this.safetyViolations.push(`${id} stopped: ${describeError(error)}`);
     });
     member.log.start();
     return member;
   }
 
-  /** Stops a member without a word to the others. */
+  /** Stops a member without notifying the others. */
   public async kill(id: string): Promise<void> {
     const member = this.get(id);
     this.members.delete(id);
@@ -320,32 +323,35 @@
     return find() ?? this.waitForLeader(exceptId);
   }
 
-  /** Waits until the group has this many voters, all of them running with their current disks. */
+  /** Waits until the group consists of this many voters, each running with the disk in the membership. */
   public async waitForVoters(count: number): Promise<void> {
     await waitUntil(`there are ${count} voters`, () => {
       const leader = this.findLeader();
       const status = leader?.log.status;
       const voters = status?.membership.members.filter((member) => member.voter) ?? [];
-      const isWhole = voters.length === count && status?.membership.members.length === count;
-      const runs = voters.every((voter) => {
+      const isComplete = voters.length === count && status?.membership.members.length === count;
+      const areRunning = voters.every((voter) => {
         const member = this.members.get(voter.id)?.log.status;
         return member !== undefined && Buffer.compare(member.diskId, voter.diskId) === 0;
       });
-      return isWhole && runs && leader?.log.getConfirmedAt() !== undefined;
+      return isComplete && areRunning && leader?.log.getConfirmedAt() !== undefined;
     });
   }
 
-  /** Proposes once at the present leader; true if it was committed. */
-  public async tryPropose(command: string, limitMs = 1_000): Promise<boolean> {
+  /** Proposes once to the current leader; true if the command was committed. */
+  public async tryPropose(command: string, timeoutMs = 1_000): Promise<boolean> {
     const leader = this.findLeader();
     if (leader === undefined) {
       return false;
     }
-    const result = await leader.log.propose(Buffer.from(command), AbortSignal.timeout(limitMs));
+    const result = await leader.log.propose(Buffer.from(command), AbortSignal.timeout(timeoutMs));
     return result.ok;
   }
 
-  /** Proposes under new names until one is committed; returns the committed name. */
+  /**
+   * Proposes until a command is committed and returns that command. Each retry appends `#<attempt>`, because
+   * an attempt with an unknown outcome may still be committed.
+   */
   public async commit(command: string): Promise<string> {
     for (let attempt = 0; ; attempt += 1) {
       const name = attempt === 0 ? command : `${command}#${attempt}`;
@@ -375,22 +381,22 @@
     await rm(this._root, { recursive: true, force: true });
   }
 
-  private _noteRole(status: IConsensusStatus): void {
+  private _checkSingleLeader(status: IConsensusStatus): void {
     if (status.role !== 'leader') {
       return;
     }
-    const pair = formatPair(status);
-    const known = this._leaders.get(status.term);
-    if (known !== undefined && known !== pair) {
-      this.faults.push(`term ${status.term} was led by ${known} and by ${pair}`);
+    const identity = formatMemberIdentity(status);
+    const previous = this._leaders.get(status.term);
+    if (previous !== undefined && previous !== identity) {
+      this.safetyViolations.push(`term ${status.term} was led by ${previous} and by ${identity}`);
     }
-    this._leaders.set(status.term, pair);
+    this._leaders.set(status.term, identity);
   }
 
-  private _noteApplied(command: string, index: number): void {
-    const known = this._applied.get(index);
-    if (known !== undefined && known !== command) {
-      this.faults.push(`index ${index} was applied as ${known} and as ${command}`);
+  private _checkAppliedCommand(command: string, index: number): void {
+    const previous = this._applied.get(index);
+    if (previous !== undefined && previous !== command) {
+      this.safetyViolations.push(`index ${index} was applied as ${previous} and as ${command}`);
     }
     this._applied.set(index, command);
   }
--- a/src/consensus/Timings.ts
+++ b/src/consensus/Timings.ts
@@ -1,49 +1,50 @@
-/** Timings of the replicated log. */
+/** Intervals and timeouts of the replicated log. */
 
 /**
- * Between two appends to a member that has nothing to receive. Three fit into the shortest election
- * timeout; each costs a call, and calls are what an idle leader spends its time on.
+ * Interval of heartbeats (empty appends) to a member that is up to date. Three fit into the shortest
+ * election timeout. Each costs a call, and these calls are most of an idle leader's work.
  */
-const HEARTBEAT_MS = 200;
+const HEARTBEAT_INTERVAL_MS = 200;
 
-/** Bounds of the randomised time without leader after which a member starts an election. */
-const ELECTION_MIN_MS = 600;
-const ELECTION_MAX_MS = 1_200;
+/** Bounds of the random election timeout: the time without a leader after which a voter campaigns. */
+const MIN_ELECTION_TIMEOUT_MS = 600;
+const MAX_ELECTION_TIMEOUT_MS = 1_200;
 
 /**
- * The same for a member that has heard of no leader since its start: after a common stop there is none,
- * and where there is one, its members refuse the trial round.
+ * Bounds of the election timeout of a member that has had no contact with a leader since its start. It
+ * is short because after a restart of the whole group there is no leader; if there is one, the members
+ * that follow it refuse the pre-vote.
  */
-const FIRST_ELECTION_MIN_MS = 100;
-const FIRST_ELECTION_MAX_MS = 400;
+const MIN_FIRST_ELECTION_TIMEOUT_MS = 100;
+const MAX_FIRST_ELECTION_TIMEOUT_MS = 400;
 
-/** Limit of one call to a member. */
-const CALL_MS = 600;
+/** Timeout of one call to a member. */
+const CALL_TIMEOUT_MS = 600;
 
-/** Between two attempts of an empty disk to join. */
-const JOIN_RETRY_MS = 500;
+/** Interval between two rounds of join requests. */
+const JOIN_RETRY_INTERVAL_MS = 500;
 
-/** Limit of a membership change that a joining member waits for. */
-const JOIN_MS = 5_000;
+/** Timeout of a join request, which includes the membership change. */
+const JOIN_TIMEOUT_MS = 5_000;
 
 export interface IConsensusTimings {
-  readonly heartbeatMs: number;
-  readonly electionMinMs: number;
-  readonly electionMaxMs: number;
-  readonly firstElectionMinMs: number;
-  readonly firstElectionMaxMs: number;
-  readonly callMs: number;
-  readonly joinRetryMs: number;
-  readonly joinMs: number;
+  readonly heartbeatIntervalMs: number;
+  readonly minElectionTimeoutMs: number;
+  readonly maxElectionTimeoutMs: number;
+  readonly minFirstElectionTimeoutMs: number;
+  readonly maxFirstElectionTimeoutMs: number;
+  readonly callTimeoutMs: number;
+  readonly joinRetryIntervalMs: number;
+  readonly joinTimeoutMs: number;
 }
 
 export const DEFAULT_TIMINGS: IConsensusTimings = {
-  heartbeatMs: HEARTBEAT_MS,
-  electionMinMs: ELECTION_MIN_MS,
-  electionMaxMs: ELECTION_MAX_MS,
-  firstElectionMinMs: FIRST_ELECTION_MIN_MS,
-  firstElectionMaxMs: FIRST_ELECTION_MAX_MS,
-  callMs: CALL_MS,
-  joinRetryMs: JOIN_RETRY_MS,
-  joinMs: JOIN_MS,
+  heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
+  minElectionTimeoutMs: MIN_ELECTION_TIMEOUT_MS,
+  maxElectionTimeoutMs: MAX_ELECTION_TIMEOUT_MS,
+  minFirstElectionTimeoutMs: MIN_FIRST_ELECTION_TIMEOUT_MS,
+  maxFirstElectionTimeoutMs: MAX_FIRST_ELECTION_TIMEOUT_MS,
+  callTimeoutMs: CALL_TIMEOUT_MS,
+  joinRetryIntervalMs: JOIN_RETRY_INTERVAL_MS,
+  joinTimeoutMs: JOIN_TIMEOUT_MS,
 };
--- a/src/consensus/Transport.test.ts
+++ b/src/consensus/Transport.test.ts
@@ -13,8 +13,13 @@
 import { ListMachine, TEST_TIMINGS, waitUntil } from './TestCluster.js';
 import { RpcConsensusTransport } from './Transport.js';
 
-/** Above the in-memory timings, because calls pass through HTTP. */
-const TIMINGS = { ...TEST_TIMINGS, electionMinMs: 400, electionMaxMs: 800, callMs: 400 };
+/** Longer than the in-memory timings, because calls go through HTTP. */
+const TIMINGS = {
+  ...TEST_TIMINGS,
+  minElectionTimeoutMs: 400,
+  maxElectionTimeoutMs: 800,
+  callTimeoutMs: 400,
+};
 
 const cleanups: (() => unknown)[] = [];
 
@@ -24,7 +29,7 @@
   }
 });
 
-/** Listens before the member exists, because the member has to know its address. */
+/** Listens before the member exists, because the member needs its address to start. */
 async function listen(getHandlers: () => IConsensusHandlers): Promise<string> {
   const handler = createRpcHandler((router) => {
     router.service(ConsensusService, {
@@ -47,7 +52,7 @@
   root: string,
   id: string,
   peers: readonly string[],
-  founds: boolean,
+  isFounder: boolean,
 ): Promise<{ log: ReplicatedLog; machine: ListMachine; address: string }> {
   const running: { log?: ReplicatedLog } = {};
   const address = await listen(() => {
@@ -56,7 +61,7 @@
     }
     return running.log.handlers;
   });
-  if (founds) {
+  if (isFounder) {
     (await initialiseDataFolder(join(root, id), id, address)).unwrap();
   }
   const clients = new RpcClients('secret');
@@ -87,7 +92,7 @@
 }
 
 describe('RpcConsensusTransport', () => {
-  it('carries joins, entries and a snapshot of several parts between processes', async () => {
+  it('carries join requests, entries and a snapshot of several chunks over HTTP', async () => {
     const root = await mkdtemp(join(tmpdir(), 'redwingwharf-rpc-'));
     cleanups.push(() => rm(root, { recursive: true, force: true }));
     const first = await startMember(root, 'm1', [], true);
@@ -100,8 +105,8 @@
     const others = ['m2', 'm3'].map((id) => startMember(root, id, [first.address], false));
     const members = await Promise.all(others);
     await waitUntil('all are voters', () => {
-      const { members: known } = first.log.status.membership;
-      return known.length === 3 && known.every((member) => member.voter);
+      const { members: current } = first.log.status.membership;
+      return current.length === 3 && current.every((member) => member.voter);
     });
     (await first.log.propose(Buffer.from('small'), signal)).unwrap();
     for (const { machine } of members) {
--- a/src/consensus/Transport.ts
+++ b/src/consensus/Transport.ts
@@ -1,4 +1,4 @@
-/** Calls between members. */
+/** Calls between consensus members. */
 import type { RpcClients } from '../common/Rpc.js';
 import {
   ConsensusService,
@@ -12,7 +12,7 @@
   type VoteResponse,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 
-/** Calls to the member at an address. A call that fails or is aborted rejects. */
+/** Calls the member at an address. The promise rejects if the call fails or is aborted. */
 export interface IConsensusTransport {
   requestVote(address: string, request: VoteRequest, signal: AbortSignal): Promise<VoteResponse>;
   appendEntries(
@@ -28,7 +28,7 @@
   join(address: string, request: JoinRequest, signal: AbortSignal): Promise<JoinResponse>;
 }
 
-/** Calls over Connect. */
+/** Sends the calls over the Connect protocol. */
 export class RpcConsensusTransport implements IConsensusTransport {
   constructor(private readonly _clients: RpcClients) {}
 
--- a/src/consensus/Types.ts
+++ b/src/consensus/Types.ts
@@ -1,9 +1,12 @@
-/** Interfaces between the replicated log and its users. */
+/** Interfaces between the replicated log, its callers and the state machine that it drives. */
 import type { Membership } from '../gen/redwingwharf/v1/consensus_pb.js';
 import type { IEvent } from '../common/Lifecycle.js';
 import type { IFailure, Result } from '../common/Result.js';
 
-/** The state that the log replicates. Applying the same commands gives the same state everywhere. */
+/**
+ * Deterministic state that the log replicates: applying the same commands in the same order gives the
+ * same state on every member.
+ */
 export interface IStateMachine {
   /** Applies a committed command and returns the encoded result. */
   apply(command: Uint8Array, index: number): Uint8Array;
@@ -13,7 +16,7 @@
 
 export type ConsensusRole = 'follower' | 'candidate' | 'leader' | 'learner';
 
-/** What this member knows of the group. */
+/** Role, log position and committed membership as this member sees them. */
 export interface IConsensusStatus {
   readonly role: ConsensusRole;
   readonly term: number;
@@ -32,32 +35,35 @@
   readonly result: Uint8Array;
 }
 
-/** Why a command was not known to be committed. */
+/** Why `propose` could not report a command as committed. */
 export type ConsensusFailure =
   | (IFailure<'not_leader'> & { readonly leaderAddress: string | undefined })
-  /** The command may still be committed later. */
+  /** The outcome is unknown: the command may still be committed later. */
   | IFailure<'indeterminate'>
   | IFailure<'stopped'>;
 
-/** How a group replaces members that are lost, where no operator does it. */
+/** Rules by which the leader replaces or removes lost voters without an operator. */
 export interface IMembershipPolicy {
-  /** A voter that has been silent for this long gives its place to a learner that is ready. */
+  /** A voter that has not answered for this long is replaced by a learner that has caught up. */
   readonly lostVoterMs: number;
-  /** The group does not shrink below this number of voters: twice the losses to be borne and one. */
+  /**
+   * A lost voter is removed without a replacement only while there are more voters than this: 2f + 1, where
+   * f is the number of failures to be tolerated.
+   */
   readonly minVoters: number;
-  /** Learners beyond this number of voters wait until a voter is lost. */
+  /** With this many voters, learners are promoted only to replace a lost voter. */
   readonly maxVoters: number;
 }
 
-/** A log that a majority of members keeps on disk. */
+/** A log of commands. A command is committed once a majority of voters has it on disk. */
 export interface IReplicatedLog {
   readonly status: IConsensusStatus;
-  /** Commits a command; returns after it was applied on this member. */
+  /** Commits a command; resolves after it was applied on this member. */
   propose(command: Uint8Array, signal: AbortSignal): Promise<Result<ICommitted, ConsensusFailure>>;
   /**
-   * Time (of the clock passed to the log) at which this leader's state was known to be current: the
-   * start of the last heartbeat round that a majority acknowledged. Undefined on other members and
-   * on a leader that has not committed an entry of its own term.
+   * Latest time, by the clock passed to the log, at which this leader was certainly the leader and its
+   * state current: the start of the last heartbeat round that a majority acknowledged. Undefined on other
+   * members and on a leader that has not yet committed an entry of its own term.
    */
   getConfirmedAt(): number | undefined;
   readonly onRoleChange: IEvent<IConsensusStatus>;
