--- a/src/storage/DataDirectory.test.ts
+++ b/src/storage/DataDirectory.test.ts
@@ -15,21 +15,21 @@
 });
 
 describe('DataDirectory', () => {
-  it('refuses a second user, so that two processes never write one log', async () => {
+  it('refuses to open a locked directory, so that two processes never write one log', async () => {
     const directory = await DataDirectory.open(folder);
     await expect(DataDirectory.open(folder)).rejects.toMatchObject({ kind: 'locked' });
     await directory.close();
     await (await DataDirectory.open(folder)).close();
   });
 
-  it('takes over the lock of a process that was killed, even if its id is in use again', async () => {
+  it('takes over the lock of a killed process, even if its process id was reused', async () => {
     await writeFile(join(folder, 'lock'), `${process.pid} 1 00000000-0000-0000-0000-000000000000`);
     await (await DataDirectory.open(folder)).close();
     await writeFile(join(folder, 'lock'), '4194304000 1 x');
     await (await DataDirectory.open(folder)).close();
   });
 
-  it('refuses a damaged file and ignores a replacement that was not finished', async () => {
+  it('refuses a damaged file and ignores an interrupted replacement', async () => {
     const directory = await DataDirectory.open(folder);
     expect(await directory.read('state')).toBeUndefined();
     await directory.replace('state', Buffer.from('one'));
--- a/src/storage/DataDirectory.ts
+++ b/src/storage/DataDirectory.ts
@@ -1,4 +1,4 @@
-/** The one directory that holds a member's durable state. */
+/** The directory that holds a member's durable state: a lock file, replaceable files and one record log. */
 import { mkdir, readdir, unlink } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
 import { readCheckedFile, replaceCheckedFile, syncDirectory, TEMPORARY_SUFFIX } from './Files.js';
@@ -9,12 +9,12 @@
 
 const LOG_FOLDER = 'log';
 
-/** What the consensus module needs of the directory. */
+/** The operations on a data directory that the consensus module uses. */
 export interface IDataDirectory {
   readonly path: string;
-  /** Content of a replaced file; undefined if there is none. Throws `StorageError` on damage. */
+  /** Content of a file; undefined if it does not exist. Throws `StorageError` on damage. */
   read(name: string): Promise<Uint8Array | undefined>;
-  /** Replaces a file as a whole; durable when it resolves. */
+  /** Atomically replaces a file; durable when the promise resolves. */
   replace(name: string, content: Uint8Array): Promise<void>;
   hasLog(): Promise<boolean>;
   openLog(options?: IRecordLogOptions): Promise<IOpenedLog>;
@@ -22,7 +22,7 @@
 }
 
 /**
- * A locked data directory.
+ * A data directory, locked against other processes unless it was opened with `skipsLock`.
  *
  * @example
  * const directory = await DataDirectory.open('/data');
@@ -35,17 +35,17 @@
   ) {}
 
   /**
-   * Creates the directory if needed and locks it. Throws `StorageError` of kind `locked`.
-   * `isExclusive` skips the lock: for file systems without hard links, where whoever starts the process
-   * gives the directory to no other one.
+   * Creates the directory if needed and locks it. Throws a `StorageError` of kind `locked` if another
+   * process holds the lock. `skipsLock` opens it without a lock, for file systems without hard links;
+   * whoever starts the process must then give the directory to no other process.
    */
-  public static async open(path: string, isExclusive = false): Promise<DataDirectory> {
+  public static async open(path: string, skipsLock = false): Promise<DataDirectory> {
     const created = await mkdir(path, { recursive: true });
     if (created !== undefined) {
       await syncDirectory(dirname(path));
       await syncDirectory(dirname(created));
     }
-    const lock = isExclusive ? undefined : await LockFile.acquire(join(path, LOCK_FILE));
+    const lock = skipsLock ? undefined : await LockFile.acquire(join(path, LOCK_FILE));
     for (const name of await readdir(path)) {
       if (name.endsWith(TEMPORARY_SUFFIX)) {
         await unlink(join(path, name));
@@ -70,7 +70,7 @@
     return RecordLog.open(join(this.path, LOG_FOLDER), options);
   }
 
-  /** Releases the lock. The log is closed by its owner. */
+  /** Releases the lock. The caller closes the log first. */
   public async close(): Promise<void> {
     await this._lock?.release();
   }
--- a/src/storage/Files.ts
+++ b/src/storage/Files.ts
@@ -1,20 +1,20 @@
-/** Files that are replaced as a whole: a reader sees the old or the new content, never a mixture. */
+/** Atomic file replacement: a reader sees the old or the new content, never a mixture of both. */
 import { open, readFile, rename } from 'node:fs/promises';
 import { dirname } from 'node:path';
 import { crc32 } from 'node:zlib';
 import { createDamageError } from './StorageError.js';
 
-/** Suffix of files that are not complete yet; recovery deletes them. */
+/** Suffix of files that are still being written; opening their directory deletes those left by a crash. */
 export const TEMPORARY_SUFFIX = '.tmp';
 
 const CHECKSUM_BYTES = 4;
 
-/** True for the error of a missing file. */
+/** True for the error `ENOENT`. */
 export function isMissingFileError(error: unknown): boolean {
   return error instanceof Error && (error as NodeJS.ErrnoException).code === 'ENOENT';
 }
 
-/** Makes created, renamed and deleted names in a directory durable. */
+/** Makes the creation, renaming and deletion of files in a directory durable. */
 export async function syncDirectory(path: string): Promise<void> {
   const handle = await open(path, 'r');
   try {
@@ -24,10 +24,10 @@
   }
 }
 
-/** Replaces a file; it is durable when the promise resolves. */
+/** Atomically replaces a file by the concatenated parts; durable when the promise resolves. */
 export async function replaceFile(path: string, parts: readonly Uint8Array[]): Promise<void> {
-  const temporary = path + TEMPORARY_SUFFIX;
-  const handle = await open(temporary, 'w');
+  const temporaryPath = path + TEMPORARY_SUFFIX;
+  const handle = await open(temporaryPath, 'w');
   try {
     for (const part of parts) {
       await handle.writeFile(part);
@@ -36,18 +36,18 @@
   } finally {
     await handle.close();
   }
-  await rename(temporary, path);
+  await rename(temporaryPath, path);
   await syncDirectory(dirname(path));
 }
 
-/** Replaces a file with `crc32 | content`. */
+/** Atomically replaces a file by `crc32 | content`; durable when the promise resolves. */
 export async function replaceCheckedFile(path: string, content: Uint8Array): Promise<void> {
   const checksum = Buffer.alloc(CHECKSUM_BYTES);
   checksum.writeUInt32LE(crc32(content));
   await replaceFile(path, [checksum, content]);
 }
 
-/** Reads a file of `crc32 | content`; undefined if there is none. Throws on damage. */
+/** Reads a file of `crc32 | content`; undefined if it does not exist. Throws `StorageError` on damage. */
 export async function readCheckedFile(path: string): Promise<Uint8Array | undefined> {
   let bytes: Buffer;
   try {
--- a/src/storage/LockFile.ts
+++ b/src/storage/LockFile.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps two processes from using one data directory. The file names its owner (process id, start time
- * and boot id), so that the lock of a process that was killed is recognised as stale even when its
- * process id is in use again. Processes in different pid namespaces are not told apart.
+ * Lock file that prevents two processes from using one data directory. It holds the owner's process id,
+ * start time and boot id, so that the lock of a killed process is recognised as stale even if its process
+ * id was reused. It does not protect against processes in other pid namespaces.
  */
 import { randomBytes } from 'node:crypto';
 import { readFileSync } from 'node:fs';
@@ -9,13 +9,13 @@
 import { isMissingFileError } from './Files.js';
 import { StorageError } from './StorageError.js';
 
-/** Attempts against processes that clear the same stale lock. */
+/** Attempts to acquire the lock while other processes remove the same stale lock. */
 const MAX_ATTEMPTS = 5;
 
-/** Position of the start time in /proc/<pid>/stat, counted after the command name. */
+/** Index of the start time in /proc/<pid>/stat, counted from the field after the command name. */
 const START_TIME_FIELD = 19;
 
-function readOptional(path: string): string | undefined {
+function tryRead(path: string): string | undefined {
   try {
     return readFileSync(path, 'utf8');
   } catch {
@@ -23,12 +23,14 @@
   }
 }
 
-/** Identifies a running process; undefined if there is none. */
+/**
+ * Identity of a running process; undefined if it does not run. Without /proc it is the process id alone.
+ */
 function describeProcess(pid: number): string | undefined {
-  const stat = readOptional(`/proc/${pid}/stat`);
+  const stat = tryRead(`/proc/${pid}/stat`);
   if (stat !== undefined) {
     const startTime = stat.slice(stat.lastIndexOf(')') + 2).split(' ')[START_TIME_FIELD];
-    const bootId = readOptional('/proc/sys/kernel/random/boot_id')?.trim();
+    const bootId = tryRead('/proc/sys/kernel/random/boot_id')?.trim();
     return `${pid} ${startTime ?? ''} ${bootId ?? ''}`;
   }
   try {
@@ -54,12 +56,12 @@
   }
 }
 
-/** Creates the lock with its content in one step; false if it exists. */
+/** Atomically creates the lock file with its content; false if it exists. */
 async function tryCreate(path: string, owner: string): Promise<boolean> {
-  const temporary = `${path}.${randomBytes(8).toString('hex')}`;
-  await writeFile(temporary, owner);
+  const temporaryPath = `${path}.${randomBytes(8).toString('hex')}`;
+  await writeFile(temporaryPath, owner);
   try {
-    await link(temporary, path);
+    await link(temporaryPath, path);
     return true;
   } catch (error) {
     if ((error as NodeJS.ErrnoException).code === 'EEXIST') {
@@ -67,36 +69,36 @@
     }
     throw error;
   } finally {
-    await unlink(temporary);
+    await unlink(temporaryPath);
   }
 }
 
-/** Moves a stale lock away; puts it back if a live process has taken it meanwhile. */
+/** Removes a stale lock by renaming it; restores it if a running process acquired it meanwhile. */
 async function clearStaleLock(path: string): Promise<void> {
-  const moved = `${path}.${randomBytes(8).toString('hex')}`;
+  const movedPath = `${path}.${randomBytes(8).toString('hex')}`;
   try {
-    await rename(path, moved);
+    await rename(path, movedPath);
   } catch (error) {
     if (isMissingFileError(error)) {
       return;
     }
     throw error;
   }
-  if (isOwnerAlive(await readFile(moved, 'utf8'))) {
-    await link(moved, path);
+  if (isOwnerAlive(await readFile(movedPath, 'utf8'))) {
+    await link(movedPath, path);
   }
-  await unlink(moved);
+  await unlink(movedPath);
 }
 
-/** A held lock. */
+/** A lock file held by this process. */
 export class LockFile {
   private constructor(private readonly _path: string) {}
 
-  /** Takes the lock or throws a `StorageError` of kind `locked`. */
+  /** Acquires the lock. Throws a `StorageError` of kind `locked` if another process holds it. */
   public static async acquire(path: string): Promise<LockFile> {
-    const self = describeProcess(process.pid) ?? String(process.pid);
+    const ownIdentity = describeProcess(process.pid) ?? String(process.pid);
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-      if (await tryCreate(path, self)) {
+      if (await tryCreate(path, ownIdentity)) {
         return new LockFile(path);
       }
       const owner = await readOwner(path);
--- a/src/storage/RecordLog.test.ts
+++ b/src/storage/RecordLog.test.ts
@@ -49,7 +49,7 @@
   await writeFile(path, bytes);
 }
 
-async function openResult(): Promise<string[] | StorageError> {
+async function tryReadAll(): Promise<string[] | StorageError> {
   try {
     return await readAll();
   } catch (error) {
@@ -60,7 +60,7 @@
   }
 }
 
-/** Appends a batch that a crash interrupts before its sync: the mark doesn't cover it. */
+/** Appends a batch as if a crash interrupted it before its sync: the sync mark is before it. */
 async function appendUnsynced(texts: readonly string[]): Promise<{ path: string; start: number }> {
   const markPath = join(folder, 'synced');
   const mark = await readFile(markPath);
@@ -89,31 +89,32 @@
 }
 
 describe('RecordLog', () => {
-  it('returns what was appended, across segments and restarts', async () => {
+  it('returns the appended records in order after a restart, across segments', async () => {
     await writeBatches([['a', 'b'], ['c'.repeat(200)], ['d']]);
     expect(await readAll()).toEqual(['a', 'b', 'c'.repeat(200), 'd']);
     expect((await listSegments()).length).toBeGreaterThan(1);
   });
 
-  it('shares syncs between concurrent appends, so that throughput is not one sync per append', async () => {
+  it('writes concurrent appends in batches, so that they share syncs', async () => {
     const { log } = await RecordLog.open(folder);
     const appends = Array.from({ length: 500 }, (_, n) => log.append([encode(String(n))]));
     await Promise.all(appends);
     await log.close();
     const bytes = await readFile((await listSegments())[0] ?? '');
-    const starts = (await readAll()).length;
-    expect(starts).toBe(500);
-    // The top bit of the length field marks a batch start; 500 appends of one turn are one batch.
-    let batches = 0;
+    const recordCount = (await readAll()).length;
+    expect(recordCount).toBe(500);
+    // The top bit of the length field marks a batch start; 500 appends in one turn of the event loop
+    // should form a single batch.
+    let batchCount = 0;
     for (let offset = 20; offset < bytes.length;) {
       const field = bytes.readUInt32LE(offset);
-      batches += field >= 0x8000_0000 ? 1 : 0;
+      batchCount += field >= 0x8000_0000 ? 1 : 0;
       offset += 8 + (field % 0x8000_0000);
     }
-    expect(batches).toBeLessThan(5);
+    expect(batchCount).toBeLessThan(5);
   });
 
-  it('refuses any changed byte of synced data, so that no synced record is dropped or altered', async () => {
+  it('refuses a change of any byte of synced data, so that no synced record is dropped or altered', async () => {
     await fc.assert(
       fc.asyncProperty(
         batchesArbitrary,
@@ -127,7 +128,7 @@
             const path = segments[fileSeed % segments.length] ?? '';
             const size = (await readFile(path)).length;
             await replaceByte(path, byteSeed % size, xor);
-            const result = await openResult();
+            const result = await tryReadAll();
             expect(result).toBeInstanceOf(StorageError);
             expect(result).toMatchObject({ kind: 'damaged', file: path });
           });
@@ -137,7 +138,7 @@
     );
   });
 
-  it('refuses a segment cut within synced data, so that a shortened file is not a torn tail', async () => {
+  it('refuses a segment truncated within synced data instead of taking it for a torn tail', async () => {
     await fc.assert(
       fc.asyncProperty(batchesArbitrary, fc.nat(), fc.nat(), async (batches, fileSeed, cut) => {
         await runInFreshFolder(async () => {
@@ -145,14 +146,14 @@
           const segments = await listSegments();
           const path = segments[fileSeed % segments.length] ?? '';
           await truncate(path, cut % (await readFile(path)).length);
-          expect(await openResult()).toBeInstanceOf(StorageError);
+          expect(await tryReadAll()).toBeInstanceOf(StorageError);
         });
       }),
       { numRuns: 40 },
     );
   });
 
-  it('recovers everything synced when the unsynced batch is torn or damaged anywhere', async () => {
+  it('recovers all synced records when the unsynced batch is torn or damaged at any offset', async () => {
     await fc.assert(
       fc.asyncProperty(
         batchesArbitrary,
@@ -165,17 +166,17 @@
             const synced = batches.flat();
             const { path, start } = await appendUnsynced(unsynced);
             const size = (await readFile(path)).length;
-            const place = start + (position % (size - start));
-            // A zero mask stands for a torn write.
-            await (xor === 0 ? truncate(path, place) : replaceByte(path, place, xor));
-            const result = await openResult();
+            const damageOffset = start + (position % (size - start));
+            // The mask 0 changes no byte and stands for a torn write.
+            await (xor === 0 ? truncate(path, damageOffset) : replaceByte(path, damageOffset, xor));
+            const result = await tryReadAll();
             if (result instanceof StorageError) {
               throw result;
             }
             expect(result.slice(0, synced.length)).toEqual(synced);
-            const rest = result.slice(synced.length);
-            expect(rest).toEqual(unsynced.slice(0, rest.length));
-            expect(rest.length).toBeLessThan(unsynced.length);
+            const recoveredUnsynced = result.slice(synced.length);
+            expect(recoveredUnsynced).toEqual(unsynced.slice(0, recoveredUnsynced.length));
+            expect(recoveredUnsynced.length).toBeLessThan(unsynced.length);
             expect(await readAll()).toEqual(result);
           });
         },
@@ -184,7 +185,7 @@
     );
   });
 
-  it('refuses damage before a later batch even when the mark lags, as after a power loss', async () => {
+  it('refuses damage before a later batch even if the sync mark is behind, as after a power loss', async () => {
     await writeBatches([['first']]);
     const mark = await readFile(join(folder, 'synced'));
     await writeBatches([['second'], ['third']]);
@@ -192,25 +193,25 @@
     const path = (await listSegments())[0] ?? '';
     const offset = (await readFile(path)).indexOf('second');
     await replaceByte(path, offset, 1);
-    const result = await openResult();
+    const result = await tryReadAll();
     expect(result).toMatchObject({ kind: 'damaged', file: path, offset: offset - 8 });
     expect(String(result)).toContain('start this member with an empty data directory');
   });
 
-  it('refuses a missing segment, at the end, at the start and in the middle', async () => {
+  it('refuses a missing segment in the middle and at the end, but not at the start', async () => {
     for (const position of [0, 1, -1]) {
       await runInFreshFolder(async () => {
         await writeBatches([['a'.repeat(150)], ['b'.repeat(150)], ['c'.repeat(150)], ['d']]);
         const path = (await listSegments()).at(position) ?? '';
         await unlink(path);
-        const result = await openResult();
-        // Without its first segment the log is a compacted one; the owner compares it with its snapshot.
+        const result = await tryReadAll();
+        // Without its first segment the log looks compacted; the caller checks it against its snapshot.
         expect(result instanceof StorageError).toBe(position !== 0);
       });
     }
   });
 
-  it('survives damage to one copy of the sync mark and refuses without any, so that the mark is trusted', async () => {
+  it('opens with one damaged copy of the sync mark, but refuses if both are damaged or the file is missing', async () => {
     await writeBatches([['first'], ['second']]);
     const path = join(folder, 'synced');
     const mark = await readFile(path);
@@ -221,12 +222,12 @@
     }
     await replaceByte(path, 16, 1);
     await replaceByte(path, 512 + 16, 1);
-    expect(await openResult()).toMatchObject({ kind: 'damaged', file: path });
+    expect(await tryReadAll()).toMatchObject({ kind: 'damaged', file: path });
     await unlink(path);
-    expect(await openResult()).toMatchObject({ kind: 'damaged', file: path });
+    expect(await tryReadAll()).toMatchObject({ kind: 'damaged', file: path });
   });
 
-  it('keeps indexes right after truncation, dropped prefixes and reset', async () => {
+  it('keeps indexes consistent after truncation, prefix deletion and reset', async () => {
     const { log } = await RecordLog.open(folder, { segmentBytes: 64 });
     for (let n = 1; n <= 20; n += 1) {
       await log.append([encode(`record ${n}`)]);
@@ -250,7 +251,7 @@
     expect(await readAll()).toEqual(['record 100']);
   });
 
-  it('fails every later append after a failed one, so that nothing is acknowledged on a broken disk', async () => {
+  it('rejects appends after the log was closed', async () => {
     const { log } = await RecordLog.open(folder);
     await log.close();
     await expect(log.append([encode('late')])).rejects.toMatchObject({ kind: 'io_failed' });
--- a/src/storage/RecordLog.ts
+++ b/src/storage/RecordLog.ts
@@ -1,10 +1,10 @@
 /**
- * A log of records in segment files.
+ * Append-only log of records in segment files.
  *
- * Recovery tells a torn tail from damage as follows. A batch of appends is written after the batch
- * before it was synced, so a crash can only damage the last batch. An invalid record is a torn tail if
- * and only if it stands in the last segment, at or after the sync mark, and no valid batch start
- * follows it. Anything else is damage to data that had been synced, and opening fails.
+ * Recovery distinguishes a torn tail from damage as follows. A batch of appends is written only after the
+ * previous batch was synced, so a crash can damage only the last batch. An invalid record is a torn tail
+ * if and only if it is in the last segment, at or after the sync mark, and no valid batch start follows
+ * it. A torn tail is removed; anything else is damage to synced data, and opening fails.
  */
 import { randomBytes } from 'node:crypto';
 import { mkdir, open, readdir, readFile, unlink, type FileHandle } from 'node:fs/promises';
@@ -23,14 +23,14 @@
 import { createDamageError, StorageError } from './StorageError.js';
 import { SyncMark, type ISyncedPosition } from './SyncMark.js';
 
-const MARK_FILE = 'synced';
+const SYNC_MARK_FILE = 'synced';
 
 const SEGMENT_SUFFIX = '.segment';
 
-/** A new segment is begun when the last one is at least this long. */
-const SEGMENT_BYTES = 1024 * 1024;
+/** A new segment is started when the last one has at least this size. */
+const DEFAULT_SEGMENT_BYTES = 1024 * 1024;
 
-/** Digits of a first index in a file name, so that names sort like numbers. */
+/** Digits of the first index in a file name, so that names sort in index order. */
 const INDEX_DIGITS = 16;
 
 interface ISegment extends ISegmentHeader {
@@ -51,7 +51,7 @@
   readonly reject: (error: unknown) => void;
 }
 
-/** Consecutive appends share one operation and one sync; other operations run alone. */
+/** Consecutive appends are merged into one operation with one sync; other operations run alone. */
 type Operation =
   | { readonly kind: 'append'; readonly payloads: Uint8Array[]; readonly waiters: IWaiter[] }
   | { readonly kind: 'exclusive'; readonly run: () => Promise<void>; readonly waiters: IWaiter[] };
@@ -60,14 +60,15 @@
   readonly segmentBytes?: number;
 }
 
-/** What a log held when it was opened. */
+/** An open log and the records that it held when it was opened. */
 export interface IOpenedLog {
   readonly log: RecordLog;
   readonly records: readonly Uint8Array[];
 }
 
 /**
- * Records with consecutive indexes.
+ * Appends records with consecutive indexes, batches concurrent appends, and drops records at either end.
+ * Operations run one after another; after a failed one the log fails all later ones.
  *
  * @example
  * const { log, records } = await RecordLog.open('/data/log');
@@ -75,42 +76,42 @@
  */
 export class RecordLog {
   private readonly _queue: Operation[] = [];
-  private _isWorking = false;
+  private _isQueueRunning = false;
   private _failure: StorageError | undefined;
   private _handle: FileHandle | undefined;
 
   private constructor(
     private readonly _folder: string,
     private readonly _segmentBytes: number,
-    private readonly _mark: SyncMark,
+    private readonly _syncMark: SyncMark,
     private readonly _segments: ISegment[],
   ) {}
 
   /** True if a log was ever created in the folder. */
   public static async isPresent(folder: string): Promise<boolean> {
     const names = await readdir(folder).catch(() => []);
-    return names.some((name) => name === MARK_FILE || name.endsWith(SEGMENT_SUFFIX));
+    return names.some((name) => name === SYNC_MARK_FILE || name.endsWith(SEGMENT_SUFFIX));
   }
 
   /** Opens or creates a log. Throws a `StorageError` on damage to synced data. */
   public static async open(folder: string, options: IRecordLogOptions = {}): Promise<IOpenedLog> {
     await mkdir(folder, { recursive: true });
     const names = await listSegmentFiles(folder);
-    const mark = await openMark(folder, names);
+    const mark = await openSyncMark(folder, names);
     try {
       const recovered = await recoverSegments(folder, names, mark.position);
-      const segments = recovered.map((part) => part.segment);
-      const segmentBytes = options.segmentBytes ?? SEGMENT_BYTES;
+      const segments = recovered.map((entry) => entry.segment);
+      const segmentBytes = options.segmentBytes ?? DEFAULT_SEGMENT_BYTES;
       const log = new RecordLog(folder, segmentBytes, mark, segments);
       await log._openLastSegment();
-      return { log, records: recovered.flatMap((part) => part.payloads) };
+      return { log, records: recovered.flatMap((entry) => entry.payloads) };
     } catch (error) {
       await mark.close();
       throw error;
     }
   }
 
-  /** Index of the oldest record kept, or of the next one if there is none. */
+  /** Index of the oldest record, or of the next one if the log is empty. */
   public get firstIndex(): number {
     return this._segments[0]?.firstIndex ?? 1;
   }
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Appends records. When the promise resolves they and everything appended before are durable; an
-   * empty list waits for what was appended before.
+   * Appends records. When the promise resolves, they and all earlier appends are durable; an empty list
+   * waits for the earlier appends.
    */
   public append(payloads: readonly Uint8Array[]): Promise<void> {
     const last = this._queue.at(-1);
@@ -144,9 +145,9 @@
     return this._runExclusively(() => this._dropSegmentsBefore(index));
   }
 
-  /** Removes all records; the next one gets the index `nextIndex`. */
+  /** Removes all records; the next record gets the index `nextIndex`. */
   public reset(nextIndex: number): Promise<void> {
-    return this._runExclusively(() => this._startAnew(nextIndex));
+    return this._runExclusively(() => this._resetTo(nextIndex));
   }
 
   /** Finishes the queued operations and closes the files. */
@@ -155,7 +156,7 @@
     this._failure ??= this._createFailure('the log was closed');
     await this._handle?.close();
     this._handle = undefined;
-    await this._mark.close();
+    await this._syncMark.close();
   }
 
   private _runExclusively(run: () => Promise<void>): Promise<void> {
@@ -170,21 +171,21 @@
 
   private _enqueue(operation: Operation): Promise<void> {
     this._queue.push(operation);
-    const done = this._wait(operation);
-    if (!this._isWorking) {
+    const completion = this._wait(operation);
+    if (!this._isQueueRunning) {
       void this._runQueue();
     }
-    return done;
+    return completion;
   }
 
   private async _runQueue(): Promise<void> {
-    this._isWorking = true;
-    // Appends of the same turn of the event loop join the first operation.
+    this._isQueueRunning = true;
+    // Lets further appends of this turn of the event loop join the first operation.
     await Promise.resolve();
     for (let next = this._queue.shift(); next !== undefined; next = this._queue.shift()) {
       await this._execute(next);
     }
-    this._isWorking = false;
+    this._isQueueRunning = false;
   }
 
   private async _execute(operation: Operation): Promise<void> {
@@ -192,9 +193,9 @@
       if (this._failure !== undefined) {
         throw this._failure;
       }
-      await (operation.kind === 'append' ? this._write(operation.payloads) : operation.run());
+      await (operation.kind === 'append' ? this._writeBatch(operation.payloads) : operation.run());
     } catch (error) {
-      // After a failed write or sync the content of the file is unknown until it is read again.
+      // After a failed write or sync the content of the file is unknown until the log is reopened.
       this._failure ??= error instanceof StorageError ? error : this._createFailure(String(error));
       const failure = this._failure;
       operation.waiters.forEach((waiter) => {
@@ -212,7 +213,7 @@
     return new StorageError('io_failed', this._folder, undefined, problem, remedy);
   }
 
-  private async _write(payloads: readonly Uint8Array[]): Promise<void> {
+  private async _writeBatch(payloads: readonly Uint8Array[]): Promise<void> {
     if (payloads.length === 0) {
       return;
     }
@@ -234,7 +235,7 @@
     await this._handle?.datasync();
     segment.offsets.push(...offsets);
     segment.size = end;
-    await this._mark.advance(describePosition(segment));
+    await this._syncMark.advance(getEndPosition(segment));
   }
 
   private async _writeFully(bytes: Buffer, start: number): Promise<void> {
@@ -264,11 +265,11 @@
     await this._handle?.close();
     this._handle = await open(path, 'r+');
     this._segments.push(segment);
-    await this._mark.advance(describePosition(segment));
+    await this._syncMark.advance(getEndPosition(segment));
     return segment;
   }
 
-  /** Removes a torn tail, and makes durable what an earlier process wrote but did not sync. */
+  /** Removes a torn tail and syncs records that an earlier process wrote but did not sync. */
   private async _openLastSegment(): Promise<void> {
     const last = this._segments.at(-1);
     if (last === undefined) {
@@ -278,7 +279,7 @@
     this._handle = await open(last.path, 'r+');
     await this._handle.truncate(last.size);
     await this._handle.sync();
-    await this._mark.advance(describePosition(last));
+    await this._syncMark.advance(getEndPosition(last));
   }
 
   private async _truncate(index: number): Promise<void> {
@@ -288,22 +289,22 @@
     if (index < this.firstIndex) {
       throw this._createFailure(`records before index ${index} were dropped`);
     }
-    const kept = this._segments.findLast((segment) => segment.firstIndex <= index);
-    if (kept === undefined) {
+    const lastKept = this._segments.findLast((segment) => segment.firstIndex <= index);
+    if (lastKept === undefined) {
       return;
     }
-    const count = index - kept.firstIndex;
-    const size = kept.offsets[count] ?? kept.size;
-    await this._mark.replace({ segment: kept.firstIndex, offset: size });
-    while (this._segments.at(-1) !== kept) {
+    const count = index - lastKept.firstIndex;
+    const size = lastKept.offsets[count] ?? lastKept.size;
+    await this._syncMark.replace({ segment: lastKept.firstIndex, offset: size });
+    while (this._segments.at(-1) !== lastKept) {
       await this._deleteSegment(this._segments.pop());
     }
     await this._handle?.close();
-    this._handle = await open(kept.path, 'r+');
+    this._handle = await open(lastKept.path, 'r+');
     await this._handle.truncate(size);
     await this._handle.sync();
-    kept.offsets.length = count;
-    kept.size = size;
+    lastKept.offsets.length = count;
+    lastKept.size = size;
   }
 
   private async _dropSegmentsBefore(index: number): Promise<void> {
@@ -315,15 +316,15 @@
     }
   }
 
-  private async _startAnew(nextIndex: number): Promise<void> {
-    await this._mark.replace({ segment: 0, offset: 0 });
+  private async _resetTo(nextIndex: number): Promise<void> {
+    await this._syncMark.replace({ segment: 0, offset: 0 });
     while (this._segments.length > 0) {
       await this._deleteSegment(this._segments.pop());
     }
     await this._createSegment(nextIndex);
   }
 
-  /** Syncs after each deletion, so that a crash leaves no gap between segments. */
+  /** Syncs the directory after each deletion, so that a crash leaves no gap between segments. */
   private async _deleteSegment(segment: ISegment | undefined): Promise<void> {
     if (segment !== undefined) {
       await unlink(segment.path);
@@ -332,11 +333,11 @@
   }
 }
 
-function describePosition(segment: ISegment): ISyncedPosition {
+function getEndPosition(segment: ISegment): ISyncedPosition {
   return { segment: segment.firstIndex, offset: segment.size };
 }
 
-/** Names of the segment files in order. Deletes files whose creation was not finished. */
+/** Names of the segment files in index order. Deletes files whose creation a crash interrupted. */
 async function listSegmentFiles(folder: string): Promise<string[]> {
   const names = await readdir(folder);
   for (const name of names.filter((candidate) => candidate.endsWith(TEMPORARY_SUFFIX))) {
@@ -345,8 +346,8 @@
   return names.filter((name) => name.endsWith(SEGMENT_SUFFIX)).sort();
 }
 
-async function openMark(folder: string, segmentNames: readonly string[]): Promise<SyncMark> {
-  const path = join(folder, MARK_FILE);
+async function openSyncMark(folder: string, segmentNames: readonly string[]): Promise<SyncMark> {
+  const path = join(folder, SYNC_MARK_FILE);
   const mark = await SyncMark.open(path);
   if (mark !== undefined) {
     return mark;
@@ -357,7 +358,7 @@
   await SyncMark.create(path);
   const created = await SyncMark.open(path);
   if (created === undefined) {
-    throw createDamageError(path, undefined, 'the sync mark vanished');
+    throw createDamageError(path, undefined, 'the sync mark is missing right after its creation');
   }
   return created;
 }
@@ -369,15 +370,15 @@
 ): Promise<IRecoveredSegment[]> {
   const recovered: IRecoveredSegment[] = [];
   for (const name of names) {
-    const part = await recoverSegment(join(folder, name));
-    const before = recovered.at(-1)?.segment;
-    if (before !== undefined) {
-      checkSequence(before, part.segment);
+    const next = await recoverSegment(join(folder, name));
+    const previous = recovered.at(-1)?.segment;
+    if (previous !== undefined) {
+      checkSequence(previous, next.segment);
     }
-    recovered.push(part);
+    recovered.push(next);
   }
-  recovered.forEach((part, position) => {
-    checkTail(part, position === recovered.length - 1, synced);
+  recovered.forEach((entry, position) => {
+    checkTail(entry, position === recovered.length - 1, synced);
   });
   const last = recovered.at(-1)?.segment;
   if (synced.segment > (last?.firstIndex ?? 0)) {
@@ -391,7 +392,8 @@
   const bytes = await readFile(path);
   const header = decodeSegmentHeader(bytes);
   const nameIndex = Number.parseInt(path.slice(path.lastIndexOf('/') + 1), 10);
-  // A segment gets its name only after its header was synced, so a bad header is never a torn write.
+  // A segment file is renamed to its name only after its header was synced, so an invalid header is never
+  // a torn write.
   if (header?.firstIndex !== nameIndex) {
     throw createDamageError(path, 0, 'the segment header is damaged');
   }
@@ -400,19 +402,19 @@
   return { segment, bytes, payloads: content.payloads };
 }
 
-function checkSequence(before: ISegment, next: ISegment): void {
-  const expected = before.firstIndex + before.offsets.length;
+function checkSequence(previous: ISegment, next: ISegment): void {
+  const expected = previous.firstIndex + previous.offsets.length;
   if (next.firstIndex !== expected) {
     const problem = `index ${expected} is damaged or missing; the next segment begins at ${next.firstIndex}`;
-    throw createDamageError(before.path, before.size, problem);
+    throw createDamageError(previous.path, previous.size, problem);
   }
 }
 
-/** Throws unless everything after the valid records is a torn tail. */
-function checkTail(part: IRecoveredSegment, isLast: boolean, synced: ISyncedPosition): void {
-  const { segment, bytes } = part;
-  const minimum = segment.firstIndex === synced.segment ? synced.offset : 0;
-  if (segment.size < minimum) {
+/** Throws unless the bytes after the valid records, if any, are a torn tail. */
+function checkTail(recovered: IRecoveredSegment, isLast: boolean, synced: ISyncedPosition): void {
+  const { segment, bytes } = recovered;
+  const syncedSize = segment.firstIndex === synced.segment ? synced.offset : 0;
+  if (segment.size < syncedSize) {
     throw createDamageError(segment.path, segment.size, 'a synced record is damaged or missing');
   }
   if (segment.size === bytes.length) {
@@ -421,9 +423,9 @@
   if (!isLast) {
     throw createDamageError(segment.path, segment.size, 'a record is damaged');
   }
-  const later = findBatchStart(bytes, segment.size, segment.salt);
-  if (later !== undefined) {
-    const problem = `a record is damaged; the batch at offset ${later} proves that it was synced`;
+  const laterBatchStart = findBatchStart(bytes, segment.size, segment.salt);
+  if (laterBatchStart !== undefined) {
+    const problem = `a record is damaged; the batch at offset ${laterBatchStart} proves that it was synced`;
     throw createDamageError(segment.path, segment.size, problem);
   }
 }
--- a/src/storage/Segment.ts
+++ b/src/storage/Segment.ts
@@ -1,23 +1,23 @@
 /**
  * Format of a segment file: a header, then records `length | crc32 | payload`.
  *
- * The top bit of `length` marks the first record of a batch. A batch is written only after the one
- * before it was synced, so a valid batch start proves that everything before it had been synced. The
- * checksum covers a random salt of the segment, the offset, the length and the payload; bytes inside a
- * payload or from an earlier use of the disk therefore never pass for a record.
+ * The top bit of `length` marks the first record of a batch. A batch is written only after the previous
+ * one was synced, so a valid batch start proves that everything before it was synced. The checksum covers
+ * a random salt of the segment, the offset, the length and the payload, so that neither bytes inside a
+ * payload nor remains of a deleted file are taken for a record.
  */
 import { crc32 } from 'node:zlib';
 
 const MAGIC = 0x314c5752;
 
-/** magic (4), first index (8), salt (4), crc32 (4). */
+/** Layout of a segment header: magic (4), first index (8), salt (4), crc32 (4). */
 export const SEGMENT_HEADER_BYTES = 20;
 
 export const RECORD_HEADER_BYTES = 8;
 
 const BATCH_START_BIT = 0x8000_0000;
 
-/** Longest payload; longer lengths in a file are damage. */
+/** Longest payload. A greater length in a file is treated as damage. */
 export const MAX_PAYLOAD_BYTES = 64 * 1024 * 1024;
 
 export interface ISegmentHeader {
@@ -33,7 +33,7 @@
   readonly end: number;
 }
 
-/** The valid records from the start of a segment. */
+/** The records of a segment up to the first invalid one. */
 export interface ISegmentContent {
   readonly payloads: readonly Uint8Array[];
   /** Start offset of each record. */
@@ -51,7 +51,7 @@
   return bytes;
 }
 
-/** The header, or undefined if it is damaged. */
+/** Decodes a segment header; undefined if it is damaged. */
 export function decodeSegmentHeader(bytes: Buffer): ISegmentHeader | undefined {
   if (
     bytes.length < SEGMENT_HEADER_BYTES ||
@@ -76,7 +76,7 @@
   return crc32(payload, crc32(prefix));
 }
 
-/** Encodes the header of a record that will stand at `offset`. */
+/** Encodes the header of the record at `offset`. */
 export function encodeRecordHeader(
   salt: number,
   offset: number,
@@ -90,7 +90,7 @@
   return header;
 }
 
-/** Reads the record at an offset; undefined if there is no valid one. */
+/** Decodes the record at an offset; undefined if it is truncated, too long or fails its checksum. */
 export function decodeRecord(bytes: Buffer, offset: number, salt: number): IRecord | undefined {
   const start = offset + RECORD_HEADER_BYTES;
   if (start > bytes.length) {
@@ -110,7 +110,7 @@
   return { payload, isBatchStart, end };
 }
 
-/** Reads records up to the first invalid one. */
+/** Decodes records up to the first invalid one. */
 export function readRecords(bytes: Buffer, salt: number): ISegmentContent {
   const payloads: Uint8Array[] = [];
   const offsets: number[] = [];
@@ -127,8 +127,8 @@
 }
 
 /**
- * Offset of a valid batch start after `from`, or undefined. Every offset is tried, because a damaged
- * length hides where the next record begins.
+ * Offset of the first valid batch start at or after `from`, or undefined. Every offset is tried, because
+ * with a damaged length field the start of the next record is unknown.
  */
 export function findBatchStart(bytes: Buffer, from: number, salt: number): number | undefined {
   for (let offset = from; offset + RECORD_HEADER_BYTES <= bytes.length; offset += 1) {
--- a/src/storage/StorageError.ts
+++ b/src/storage/StorageError.ts
@@ -1,23 +1,23 @@
-/** Failures of the data directory. */
+/** Errors of the data directory, with a remedy for the operator. */
 import type { IFailure } from '../common/Result.js';
 
 export type StorageErrorKind =
   /** Another process uses the directory. */
   | 'locked'
-  /** Data that had been synced are missing or changed. */
+  /** Synced data is missing or changed. */
   | 'damaged'
-  /** An operation of the file system failed. */
+  /** A file system operation failed. */
   | 'io_failed'
-  /** Log or snapshot files exist without the hard state that they belong to. */
+  /** Log or snapshot files exist, but the hard state is missing. */
   | 'hard_state_missing'
-  /** The hard state exists without the log that it belongs to. */
+  /** The hard state exists, but the log is missing. */
   | 'log_missing'
   /** The directory belongs to another member. */
   | 'wrong_member'
   /** The directory already holds the state of a member. */
   | 'not_empty';
 
-/** Names the file, the offset (if there is one) and the remedy. */
+/** Its message names the file, the offset (if there is one), the problem and the remedy. */
 export class StorageError extends Error implements IFailure<StorageErrorKind> {
   constructor(
     public readonly kind: StorageErrorKind,
@@ -26,8 +26,8 @@
     problem: string,
     public readonly remedy: string,
   ) {
-    const place = offset === undefined ? file : `${file} at offset ${offset}`;
-    super(`${place}: ${problem}. ${remedy}`);
+    const location = offset === undefined ? file : `${file} at offset ${offset}`;
+    super(`${location}: ${problem}. ${remedy}`);
     this.name = 'StorageError';
   }
 }
@@ -35,7 +35,7 @@
 const DAMAGE_REMEDY =
   'Check the disk, then start this member with an empty data directory so that it joins again.';
 
-/** Synced data that are missing or changed. */
+/** Creates the error for synced data that is missing or changed. */
 export function createDamageError(
   file: string,
   offset: number | undefined,
--- a/src/storage/SyncMark.ts
+++ b/src/storage/SyncMark.ts
@@ -1,22 +1,22 @@
 /**
- * Remembers up to where a log was synced. The mark is written after each sync and is not synced itself,
- * so after a power loss it may lag, but it never claims too much. Damage below the mark is therefore
- * never mistaken for a torn tail.
+ * Records the position up to which a log is synced to disk. The mark is written after each sync of the log
+ * and is not synced itself, so after a power loss it may be behind the log, but never ahead of it. An
+ * invalid record before the mark is therefore damage and never a torn tail.
  */
 import { open, type FileHandle } from 'node:fs/promises';
 import { crc32 } from 'node:zlib';
 import { isMissingFileError, replaceFile } from './Files.js';
 import { createDamageError } from './StorageError.js';
 
-/** One disk sector, so that a torn write of one slot leaves the other one alone. */
+/** One disk sector, so that a torn write of one slot leaves the other one intact. */
 const SLOT_BYTES = 512;
 
 const SLOT_COUNT = 2;
 
-/** sequence (8), segment (8), offset (8), crc32 (4). */
-const CHECKED_BYTES = 24;
+/** Layout of a slot: sequence (8), segment (8), offset (8), crc32 (4) over the bytes before it. */
+const CHECKSUMMED_BYTES = 24;
 
-/** A place in the log. Segment 0 means that nothing is known to be synced. */
+/** A position in the log. Segment 0 means that nothing is known to be synced. */
 export interface ISyncedPosition {
   /** First index of the segment. */
   readonly segment: number;
@@ -33,7 +33,7 @@
   bytes.writeBigUInt64LE(BigInt(slot.sequence), 0);
   bytes.writeBigUInt64LE(BigInt(slot.segment), 8);
   bytes.writeBigUInt64LE(BigInt(slot.offset), 16);
-  bytes.writeUInt32LE(crc32(bytes.subarray(0, CHECKED_BYTES)), CHECKED_BYTES);
+  bytes.writeUInt32LE(crc32(bytes.subarray(0, CHECKSUMMED_BYTES)), CHECKSUMMED_BYTES);
   return bytes;
 }
 
@@ -41,7 +41,7 @@
   const isComplete = bytes.length === SLOT_BYTES;
   if (
     !isComplete ||
-    bytes.readUInt32LE(CHECKED_BYTES) !== crc32(bytes.subarray(0, CHECKED_BYTES))
+    bytes.readUInt32LE(CHECKSUMMED_BYTES) !== crc32(bytes.subarray(0, CHECKSUMMED_BYTES))
   ) {
     return undefined;
   }
@@ -52,7 +52,10 @@
   };
 }
 
-/** The open mark file of one log. */
+/**
+ * The open mark file of one log. Its two slots are written in turn; the valid one with the higher sequence
+ * counts.
+ */
 export class SyncMark {
   private constructor(
     private readonly _handle: FileHandle,
@@ -63,13 +66,13 @@
     return this._slot;
   }
 
-  /** Creates a mark that claims nothing. */
+  /** Creates a mark for a log of which nothing is synced yet. */
   public static async create(path: string): Promise<void> {
     const slot = encodeSlot({ sequence: 0, segment: 0, offset: 0 });
     await replaceFile(path, [slot, slot]);
   }
 
-  /** Opens the mark; undefined if there is none. */
+  /** Opens the mark; undefined if the file does not exist. Throws `StorageError` if both slots are damaged. */
   public static async open(path: string): Promise<SyncMark | undefined> {
     let handle: FileHandle;
     try {
@@ -102,8 +105,8 @@
   }
 
   /**
-   * Replaces the position durably in both slots. Needed before the log is shortened: an older and
-   * higher position would make the shortened log look damaged.
+   * Replaces the position durably in both slots. Must precede any shortening of the log: a remaining higher
+   * position would make the shortened log look damaged.
    */
   public async replace(position: ISyncedPosition): Promise<void> {
     await this.advance(position);
