--- a/src/control/ControlClient.test.ts
+++ b/src/control/ControlClient.test.ts
@@ -29,15 +29,15 @@
 });
 
 const servers: Server[] = [];
-const allClients: RpcClients[] = [];
-const never = new AbortController().signal;
+const openClients: RpcClients[] = [];
+const NEVER_ABORTED = new AbortController().signal;
 
 interface IMember {
   readonly address: string;
   calls: number;
 }
 
-/** Starts a control member whose n-th answer is `answer(n)`; undefined breaks the connection. */
+/** Starts a control member whose nth answer is `answer(n)`; undefined closes the connection instead. */
 async function startMember(
   answer: (call: number) => ExecuteResponse | undefined,
 ): Promise<IMember> {
@@ -72,12 +72,12 @@
 }
 
 function createClient(addresses: readonly string[], secret = SECRET): ControlClient {
-  const clients = new RpcClients(secret);
-  allClients.push(clients);
-  return new ControlClient(clients, addresses, SILENT_LOG);
+  const rpcClients = new RpcClients(secret);
+  openClients.push(rpcClients);
+  return new ControlClient(rpcClients, addresses, SILENT_LOG);
 }
 
-/** An address at which nothing listens. */
+/** Returns an address at which nothing listens. */
 async function reserveClosedAddress(): Promise<string> {
   const member = await startMember(() => GRANTED);
   const server = servers.pop();
@@ -86,7 +86,7 @@
 }
 
 afterEach(() => {
-  for (const clients of allClients.splice(0)) {
+  for (const clients of openClients.splice(0)) {
     clients.dispose();
   }
   for (const server of servers.splice(0)) {
@@ -96,65 +96,65 @@
 });
 
 describe('ControlClient', () => {
-  it('asks the leader that the feed names, also when no address of its list is a member', async () => {
+  it('calls the leader that the feed names, even if its address list is empty', async () => {
     const outdated = await reserveClosedAddress();
     const leader = await startMember(() => GRANTED);
     const clients = new RpcClients(SECRET);
-    allClients.push(clients);
+    openClients.push(clients);
     let hint = outdated;
     const client = new ControlClient(clients, [], SILENT_LOG, () => hint);
-    const executing = client.execute(COMMAND, never);
+    const executing = client.execute(COMMAND, NEVER_ABORTED);
     hint = leader.address;
     const executed = await executing;
     expect(executed.ok).toBe(true);
     expect(leader.calls).toBe(1);
   });
 
-  it('follows a hint to a leader that is not in its list and remembers it', async () => {
+  it('follows a redirect to a leader that is not in its list, and remembers it', async () => {
     const leader = await startMember(() => GRANTED);
     const follower = await startMember(() => answerNotLeader(leader.address));
     const client = createClient([follower.address]);
     for (let round = 0; round < 3; round += 1) {
-      expect((await client.execute(COMMAND, never)).ok).toBe(true);
+      expect((await client.execute(COMMAND, NEVER_ABORTED)).ok).toBe(true);
     }
     expect([follower.calls, leader.calls]).toEqual([1, 3]);
   });
 
-  it('skips members that are down, so that one lost instance stops no command', async () => {
+  it('tries the next address if a member is down, so that one lost instance blocks no command', async () => {
     const leader = await startMember(() => GRANTED);
     const client = createClient([await reserveClosedAddress(), leader.address]);
-    expect((await client.execute(COMMAND, never)).ok).toBe(true);
+    expect((await client.execute(COMMAND, NEVER_ABORTED)).ok).toBe(true);
   });
 
-  it('waits for an election, so that a failover fails no command', async () => {
+  it('retries during an election, so that a failover fails no command', async () => {
     const member = await startMember((call) => (call < 4 ? answerNotLeader('') : GRANTED));
     const client = createClient([member.address]);
-    expect((await client.execute(COMMAND, never)).ok).toBe(true);
+    expect((await client.execute(COMMAND, NEVER_ABORTED)).ok).toBe(true);
     expect(member.calls).toBe(4);
   });
 
   it('reports "not run" when no member is leader', async () => {
     const member = await startMember(() => answerNotLeader(''));
     const client = createClient([member.address]);
-    const done = await client.execute(COMMAND, never, { timeoutMs: 300 });
-    expect(done.val).toMatchObject({ kind: 'not_run' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED, { timeoutMs: 300 });
+    expect(result.val).toMatchObject({ kind: 'not_run' });
   });
 
-  it('does not loop between members that name each other', async () => {
+  it('does not loop between members that name each other as leader', async () => {
     const addresses: string[] = [];
     const first = await startMember(() => answerNotLeader(addresses[1] ?? ''));
     const second = await startMember(() => answerNotLeader(addresses[0] ?? ''));
     addresses.push(first.address, second.address);
     const client = createClient(addresses);
-    const done = await client.execute(COMMAND, never, { timeoutMs: 300 });
-    expect(done.val).toMatchObject({ kind: 'not_run' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED, { timeoutMs: 300 });
+    expect(result.val).toMatchObject({ kind: 'not_run' });
     expect(first.calls).toBeLessThan(12);
   });
 
-  it('reports "unreachable" when nothing was ever sent', async () => {
+  it('reports "unreachable" when no member could be connected to', async () => {
     const client = createClient([await reserveClosedAddress()]);
-    const done = await client.execute(COMMAND, never, { timeoutMs: 300 });
-    expect(done.val).toMatchObject({ kind: 'unreachable' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED, { timeoutMs: 300 });
+    expect(result.val).toMatchObject({ kind: 'unreachable' });
   });
 
   it.each([
@@ -163,40 +163,40 @@
   ])('never repeats a command after %s unless it is idempotent', async (_name, answer) => {
     const member = await startMember((call) => (call === 1 ? answer : GRANTED));
     const client = createClient([member.address]);
-    const done = await client.execute(COMMAND, never);
-    expect(done.val).toMatchObject({ kind: 'indeterminate' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED);
+    expect(result.val).toMatchObject({ kind: 'indeterminate' });
     expect(member.calls).toBe(1);
   });
 
   it('repeats an idempotent command after a lost answer', async () => {
     const member = await startMember((call) => (call === 1 ? undefined : GRANTED));
     const client = createClient([member.address]);
-    expect((await client.execute(COMMAND, never, { isIdempotent: true })).ok).toBe(true);
+    expect((await client.execute(COMMAND, NEVER_ABORTED, { isIdempotent: true })).ok).toBe(true);
     expect(member.calls).toBe(2);
   });
 
-  it('stays "indeterminate" when a refusal follows a lost answer', async () => {
+  it('reports "indeterminate" when a "not leader" answer follows a lost one', async () => {
     const member = await startMember((call) => (call === 1 ? undefined : answerNotLeader('')));
     const client = createClient([member.address]);
     const options = { isIdempotent: true, timeoutMs: 400 };
-    const done = await client.execute(COMMAND, never, options);
-    expect(done.val).toMatchObject({ kind: 'indeterminate' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED, options);
+    expect(result.val).toMatchObject({ kind: 'indeterminate' });
   });
 
-  it('reports a wrong secret at once, so that the operator need not wait for the deadline', async () => {
+  it('reports a wrong secret immediately instead of retrying until the deadline', async () => {
     const member = await startMember(() => GRANTED);
     const client = createClient([member.address], 'another-secret-here');
-    const done = await client.execute(COMMAND, never);
-    expect(done.val).toMatchObject({ kind: 'forbidden' });
+    const result = await client.execute(COMMAND, NEVER_ABORTED);
+    expect(result.val).toMatchObject({ kind: 'forbidden' });
     expect(member.calls).toBe(0);
   });
 
-  it('ends when the caller aborts, so that a shutdown does not wait for control', async () => {
+  it('ends when the caller aborts, so that a shutdown does not wait for the control members', async () => {
     const member = await startMember(() => answerNotLeader(''));
     const client = createClient([member.address]);
     const startedAt = performance.now();
-    const done = await client.execute(COMMAND, AbortSignal.timeout(100));
-    expect(done.err).toBe(true);
+    const result = await client.execute(COMMAND, AbortSignal.timeout(100));
+    expect(result.err).toBe(true);
     expect(performance.now() - startedAt).toBeLessThan(2_000);
   });
 });
--- a/src/control/ControlClient.ts
+++ b/src/control/ControlClient.ts
@@ -1,4 +1,4 @@
-/** Calls the leader of the control members from any process. */
+/** Client of the control members: runs commands on their leader. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import { isNeverConnected } from '../common/ConnectErrors.js';
@@ -9,65 +9,71 @@
 import { ControlService } from '../gen/redwingwharf/v1/control_pb.js';
 import type { CommandResult, CommandSchema } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Covers a failover (1.5 s) twice. */
+/** Timeout of a command: long enough for two failovers of 1.5 s. */
 const DEFAULT_TIMEOUT_MS = 5_000;
 
-/** Limit of one call, so that a member that hangs leaves time for the others. */
-const CALL_TIMEOUT_MS = 2_000;
+/** Upper bound of the timeout of one call, so that a member that hangs leaves time for the others. */
+const MAX_CALL_TIMEOUT_MS = 2_000;
 
 /**
- * A call begun before the deadline gets at least this long; cut off earlier, its outcome would be unknown
- * without need.
+ * Lower bound of the timeout of one call, even if less time remains until the deadline: a call that is
+ * aborted too early has an unknown outcome without need.
  */
-const SHORTEST_CALL_MS = 250;
+const MIN_CALL_TIMEOUT_MS = 250;
 
-const FIRST_PAUSE_MS = 50;
-const LONGEST_PAUSE_MS = 800;
+/** Backoff between rounds over all addresses; it doubles up to the maximum. */
+const INITIAL_BACKOFF_MS = 50;
+const MAX_BACKOFF_MS = 800;
 
-/** Body of a command; the leader stamps the time. */
+/** Body of a command; the leader adds the time. */
 export type ICommandBody = NonNullable<MessageInitShape<typeof CommandSchema>['body']>;
 
 export type ControlFailureKind =
-  /** Members answered, none ran the command and none will. */
+  /** Members answered that they did not and will not run the command. */
   | 'not_run'
   /** No member could be reached; the command did not run. */
   | 'unreachable'
   /** The command may have run or may still run. */
   | 'indeterminate'
-  /** The members refuse this process: the cluster secret is wrong. It did not run. */
+  /** The cluster secret of this process was refused; the command did not run. */
   | 'forbidden'
-  /** The members cannot accept such a command. It did not run. */
+  /** The command is invalid for the members; it did not run. */
   | 'refused';
 
 export type ControlFailure = IFailure<ControlFailureKind>;
 
 export interface IExecuteOptions {
   /**
-   * True when running the command twice has the effect of running it once (an operation id, a sequence
-   * number or a claim key tells them apart). Only then is an unknown outcome retried.
+   * True if running the command twice has the effect of running it once, because an operation id, a
+   * sequence number or a claim key identifies the repetition. Only then is it sent again after an attempt
+   * with an unknown outcome.
    */
   readonly isIdempotent?: boolean;
-  /** Total time of all tries in milliseconds. */
+  /** Timeout of all attempts together, in milliseconds. */
   readonly timeoutMs?: number;
 }
 
+/** Outcome of one call to one member. */
 export type CallOutcome =
   | { readonly kind: 'result'; readonly result: CommandResult }
-  | { readonly kind: 'not_leader'; readonly leader: string | undefined }
+  | { readonly kind: 'not_leader'; readonly leaderAddress: string | undefined }
   | { readonly kind: 'not_connected'; readonly reason: string }
   | { readonly kind: 'indeterminate'; readonly reason: string }
   | { readonly kind: 'forbidden' | 'refused'; readonly reason: string };
 
-/** What the tries of one command have shown so far. */
+/** Outcomes of the attempts at one command so far. */
 interface IProgress {
+  /** True once a member answered that it is not the leader. */
   hasAnswer: boolean;
-  unknownReason: string | undefined;
-  lastReason: string;
-  /** End of the total time, in the process's monotonic milliseconds. */
-  readonly endsAt: number;
+  /** Set once an attempt had an unknown outcome; the command may have run. */
+  indeterminateReason: string | undefined;
+  /** Why the last member that could not be reached was not reached. */
+  unreachableReason: string;
+  /** Time at which attempts end, by `performance.now()`. */
+  readonly deadline: number;
 }
 
-/** What a failed call proves about the command. */
+/** Derives from the error of a call whether the command may have run. */
 export function describeCallError(error: unknown): CallOutcome {
   if (isNeverConnected(error)) {
     return { kind: 'not_connected', reason: 'connection refused' };
@@ -85,13 +91,13 @@
   return { kind: 'indeterminate', reason: rawMessage };
 }
 
-function isOver(progress: IProgress, signal: AbortSignal): boolean {
-  return isAborted(signal) || performance.now() >= progress.endsAt;
+function isEnded(progress: IProgress, signal: AbortSignal): boolean {
+  return isAborted(signal) || performance.now() >= progress.deadline;
 }
 
-function createGivenUp(progress: IProgress): ControlFailure {
-  if (progress.unknownReason !== undefined) {
-    const message = `The outcome is unknown (${progress.unknownReason}). Check whether the command took effect before sending it anew.`;
+function createFinalFailure(progress: IProgress): ControlFailure {
+  if (progress.indeterminateReason !== undefined) {
+    const message = `The outcome is unknown (${progress.indeterminateReason}). Check whether the command took effect before sending it anew.`;
     return { kind: 'indeterminate', message };
   }
   if (progress.hasAnswer) {
@@ -99,34 +105,35 @@
       'Not run: no control member is leader. Check that a majority of the members is running.';
     return { kind: 'not_run', message };
   }
-  const message = `Not run: no control member was reached (${progress.lastReason}). Check the addresses.`;
+  const message = `Not run: no control member was reached (${progress.unreachableReason}). Check the addresses.`;
   return { kind: 'unreachable', message };
 }
 
 /**
- * Finds the leader, follows its members' hints and retries with jitter until the deadline.
+ * Runs commands on the leader: remembers its address, follows the members' redirects to it, and retries
+ * with exponential backoff and jitter until the deadline.
  *
  * @example
  * const client = new ControlClient(clients, ['10.0.0.1:7001', '10.0.0.2:7001'], log);
  * const done = await client.execute({ case: 'claim', value: claim }, signal, { isIdempotent: true });
  */
 export class ControlClient {
-  private _leader: string | undefined;
+  private _leaderAddress: string | undefined;
 
   constructor(
     private readonly _clients: RpcClients,
     private readonly _addresses: readonly string[],
     private readonly _log: ILog,
-    /** Address that another source names as leader; asked before the list. Empty when unknown. */
-    private readonly _getHint: () => string = () => '',
+    /** Leader address from another source, tried before the list; empty if unknown. */
+    private readonly _getLeaderHint: () => string = () => '',
   ) {}
 
-  /** Address of the member that last accepted a command or was named as leader. */
-  public get leader(): string | undefined {
-    return this._leader;
+  /** Address of the member that last ran a command or was last named as leader; undefined if unknown. */
+  public get leaderAddress(): string | undefined {
+    return this._leaderAddress;
   }
 
-  /** Runs a command on the leader. */
+  /** Runs a command on the leader. An aborted signal ends the attempts with a failure. */
   public async execute(
     command: ICommandBody,
     signal: AbortSignal,
@@ -134,25 +141,33 @@
   ): Promise<Result<CommandResult, ControlFailure>> {
     const progress: IProgress = {
       hasAnswer: false,
-      unknownReason: undefined,
-      lastReason: 'no time left',
-      endsAt: performance.now() + (options.timeoutMs ?? DEFAULT_TIMEOUT_MS),
+      indeterminateReason: undefined,
+      unreachableReason: 'no time left',
+      deadline: performance.now() + (options.timeoutMs ?? DEFAULT_TIMEOUT_MS),
     };
-    let pauseMs = FIRST_PAUSE_MS;
-    while (!isOver(progress, signal)) {
-      const end = await this._tryAll(command, signal, options.isIdempotent === true, progress);
-      if (end !== undefined) {
-        return end;
+    let backoffMs = INITIAL_BACKOFF_MS;
+    while (!isEnded(progress, signal)) {
+      const finalResult = await this._tryAddresses(
+        command,
+        signal,
+        options.isIdempotent === true,
+        progress,
+      );
+      if (finalResult !== undefined) {
+        return finalResult;
       }
-      const leftMs = Math.max(progress.endsAt - performance.now(), 0);
-      await sleep(Math.min(addJitter(pauseMs), leftMs), signal);
-      pauseMs = Math.min(pauseMs * 2, LONGEST_PAUSE_MS);
+      const remainingMs = Math.max(progress.deadline - performance.now(), 0);
+      await sleep(Math.min(addJitter(backoffMs), remainingMs), signal);
+      backoffMs = Math.min(backoffMs * 2, MAX_BACKOFF_MS);
     }
-    return Err(createGivenUp(progress));
+    return Err(createFinalFailure(progress));
   }
 
-  /** Tries the known leader, the leaders named by others and each address once. */
-  private async _tryAll(
+  /**
+   * One round: tries the known leader, leaders that members name, the hint and each address, each once.
+   * Returns undefined if the round brought no final result.
+   */
+  private async _tryAddresses(
     command: ICommandBody,
     signal: AbortSignal,
     isIdempotent: boolean,
@@ -160,24 +175,24 @@
   ): Promise<Result<CommandResult, ControlFailure> | undefined> {
     const tried = new Set<string>();
     for (;;) {
-      const address = this._pickNext(tried);
-      if (address === undefined || isOver(progress, signal)) {
+      const address = this._pickAddress(tried);
+      if (address === undefined || isEnded(progress, signal)) {
         return undefined;
       }
       tried.add(address);
-      const outcome = await this._call(address, command, signal, progress.endsAt);
-      const end = this._handleOutcome(address, outcome, isIdempotent, progress);
-      if (end !== undefined) {
-        return end;
+      const outcome = await this._call(address, command, signal, progress.deadline);
+      const finalResult = this._handleOutcome(address, outcome, isIdempotent, progress);
+      if (finalResult !== undefined) {
+        return finalResult;
       }
     }
   }
 
-  private _pickNext(tried: ReadonlySet<string>): string | undefined {
-    if (this._leader !== undefined && !tried.has(this._leader)) {
-      return this._leader;
+  private _pickAddress(tried: ReadonlySet<string>): string | undefined {
+    if (this._leaderAddress !== undefined && !tried.has(this._leaderAddress)) {
+      return this._leaderAddress;
     }
-    const hint = this._getHint();
+    const hint = this._getLeaderHint();
     const addresses = hint === '' ? this._addresses : [hint, ...this._addresses];
     return addresses.find((address) => !tried.has(address));
   }
@@ -186,25 +201,25 @@
     address: string,
     command: ICommandBody,
     signal: AbortSignal,
-    endsAt: number,
+    deadline: number,
   ): Promise<CallOutcome> {
-    // The header that carries the limit takes whole milliseconds only.
-    const leftMs = Math.ceil(Math.max(endsAt - performance.now(), SHORTEST_CALL_MS));
+    // The timeout header carries whole milliseconds only.
+    const remainingMs = Math.ceil(Math.max(deadline - performance.now(), MIN_CALL_TIMEOUT_MS));
     try {
       const client = this._clients.get(ControlService, address);
       const { outcome } = await client.execute(
         { command: { body: command } },
-        { signal, timeoutMs: Math.min(leftMs, CALL_TIMEOUT_MS) },
+        { signal, timeoutMs: Math.min(remainingMs, MAX_CALL_TIMEOUT_MS) },
       );
       switch (outcome.case) {
         case 'result':
           return { kind: 'result', result: outcome.value };
         case 'notLeader':
-          return { kind: 'not_leader', leader: outcome.value.leaderAddress || undefined };
+          return { kind: 'not_leader', leaderAddress: outcome.value.leaderAddress || undefined };
         case 'indeterminate':
           return { kind: 'indeterminate', reason: outcome.value.reason };
         case 'notRun':
-          return { kind: 'not_leader', leader: address };
+          return { kind: 'not_leader', leaderAddress: address };
         case undefined:
           return { kind: 'indeterminate', reason: 'the answer has no outcome' };
       }
@@ -213,7 +228,7 @@
     }
   }
 
-  /** Ends the command, or returns undefined when another address is to be tried. */
+  /** Returns the final result, or undefined if another address is to be tried. */
   private _handleOutcome(
     address: string,
     outcome: CallOutcome,
@@ -222,21 +237,21 @@
   ): Result<CommandResult, ControlFailure> | undefined {
     switch (outcome.kind) {
       case 'result':
-        this._leader = address;
+        this._leaderAddress = address;
         return Ok(outcome.result);
       case 'not_leader':
         progress.hasAnswer = true;
-        this._leader = outcome.leader === address ? undefined : outcome.leader;
+        this._leaderAddress = outcome.leaderAddress === address ? undefined : outcome.leaderAddress;
         return undefined;
       case 'not_connected':
-        progress.lastReason = `${address}: ${outcome.reason}`;
+        progress.unreachableReason = `${address}: ${outcome.reason}`;
         this._forgetLeader(address);
         return undefined;
       case 'indeterminate':
-        progress.unknownReason = `${address}: ${outcome.reason}`;
+        progress.indeterminateReason = `${address}: ${outcome.reason}`;
         this._forgetLeader(address);
         this._log.debug('outcome of a command is unknown', { address, reason: outcome.reason });
-        return isIdempotent ? undefined : Err(createGivenUp(progress));
+        return isIdempotent ? undefined : Err(createFinalFailure(progress));
       case 'forbidden':
       case 'refused':
         return Err(this._createRefusal(address, outcome.kind, outcome.reason, progress));
@@ -244,20 +259,20 @@
   }
 
   private _forgetLeader(address: string): void {
-    if (this._leader === address) {
-      this._leader = undefined;
+    if (this._leaderAddress === address) {
+      this._leaderAddress = undefined;
     }
   }
 
-  /** A refusal proves "not run" only when no earlier try has an unknown outcome. */
+  /** A refusal proves that the command did not run only if no earlier attempt had an unknown outcome. */
   private _createRefusal(
     address: string,
     kind: 'forbidden' | 'refused',
     reason: string,
     progress: IProgress,
   ): ControlFailure {
-    if (progress.unknownReason !== undefined) {
-      return createGivenUp(progress);
+    if (progress.indeterminateReason !== undefined) {
+      return createFinalFailure(progress);
     }
     const remedy =
       kind === 'forbidden' ? 'Check the cluster secret file.' : 'Check that all versions match.';
--- a/src/control/ControlNode.ts
+++ b/src/control/ControlNode.ts
@@ -1,4 +1,4 @@
-/** Control role: carries commands out on the leader and serves the items. */
+/** Server side of the control service. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { IClock } from '../common/Clock.js';
@@ -19,10 +19,13 @@
 } from '../gen/redwingwharf/v1/control_pb.js';
 import { CommandResultSchema, CommandSchema, type Item } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Longest wait for a commit; after it the outcome is unknown to the caller. */
+/** Timeout of a commit; after it the caller gets an unknown outcome. */
 const COMMIT_TIMEOUT_MS = 1_500;
 
-/** Commands that wait for their commit; more would only time out, as a commit takes milliseconds. */
+/**
+ * Admission limit of commands that wait for their commit. A commit takes milliseconds, so with more of
+ * them waiting the later ones would only time out.
+ */
 const MAX_PENDING_COMMANDS = 2_000;
 
 /** Read access to the replicated state. */
@@ -33,12 +36,15 @@
   listChangedSince(revision: number): { readonly full: boolean; readonly items: readonly Item[] };
 }
 
-/** Serves commands, status and the items of the leader. */
+/**
+ * Serves one control member: commits commands while it is the leader, answers sync requests with the
+ * items, and reports the member's status.
+ */
 export class ControlNode implements IFeedSource {
-  private _pending = 0;
-  /** Logical time at the moment when this member became leader, and that moment. */
+  private _pendingCommands = 0;
+  /** Logical time at the first command of this member's term as leader, and the local time then. */
   private _timeBase:
-    { readonly term: number; readonly logicalMs: number; readonly at: number } | undefined;
+    { readonly term: number; readonly logicalMs: number; readonly localMs: number } | undefined;
 
   constructor(
     private readonly _log: IReplicatedLog,
@@ -47,7 +53,7 @@
     private readonly _address: string,
   ) {}
 
-  /** True while this member's state is the origin of the items. */
+  /** True while this member is an established leader, so that its state is the source of the items. */
   public get isOrigin(): boolean {
     return this._log.getConfirmedAt() !== undefined;
   }
@@ -59,24 +65,24 @@
     });
   }
 
-  /** Commits a command and returns its result. */
+  /** Commits a command and returns its result; answers `notLeader` on other members. */
   public async execute(request: ExecuteRequest, signal: AbortSignal): Promise<ExecuteResponse> {
     const { status } = this._log;
-    const timeMs = this._deriveTime(status);
-    if (request.command === undefined || timeMs === undefined) {
-      return buildNotLeader(status.leaderAddress);
+    const logicalMs = this._deriveLogicalTimeMs(status);
+    if (request.command === undefined || logicalMs === undefined) {
+      return buildNotLeaderResponse(status.leaderAddress);
     }
-    if (this._pending >= MAX_PENDING_COMMANDS) {
+    if (this._pendingCommands >= MAX_PENDING_COMMANDS) {
       return create(ExecuteResponseSchema, {
         outcome: { case: 'notRun', value: { reason: 'too many commands wait for their commit' } },
       });
     }
-    const command = create(CommandSchema, { ...request.command, timeMs: BigInt(timeMs) });
-    this._pending += 1;
+    const command = create(CommandSchema, { ...request.command, timeMs: BigInt(logicalMs) });
+    this._pendingCommands += 1;
     try {
       return await this._commit(toBinary(CommandSchema, command), signal);
     } finally {
-      this._pending -= 1;
+      this._pendingCommands -= 1;
     }
   }
 
@@ -91,9 +97,9 @@
     const failure = committed.val;
     switch (failure.kind) {
       case 'not_leader':
-        return buildNotLeader(failure.leaderAddress);
+        return buildNotLeaderResponse(failure.leaderAddress);
       case 'stopped':
-        return buildNotLeader(undefined);
+        return buildNotLeaderResponse(undefined);
       case 'indeterminate':
         return create(ExecuteResponseSchema, {
           outcome: { case: 'indeterminate', value: { reason: failure.message } },
@@ -101,6 +107,10 @@
     }
   }
 
+  /**
+   * Answers with the items changed since the requested revision. `arrivedAt` is the arrival time of the
+   * request by this process's clock; the age of the state is measured up to it.
+   */
   public sync(request: SyncRequest, arrivedAt: number): SyncResponse {
     const { status } = this._log;
     const changes = this._state.listChangedSince(Number(request.haveRevision));
@@ -136,22 +146,23 @@
   }
 
   /**
-   * Logical time of a new command. It goes on from the last committed time at the speed of this
-   * member's clock, so that neither a failover nor a clock step makes budgets refill faster.
+   * Logical time of a new command; undefined unless this member is an established leader. It continues
+   * from the last committed time at the rate of this member's clock, so that neither a failover
+   * nor a clock step makes budgets refill faster.
    */
-  private _deriveTime(status: IConsensusStatus): number | undefined {
+  private _deriveLogicalTimeMs(status: IConsensusStatus): number | undefined {
     if (status.role !== 'leader' || this._log.getConfirmedAt() === undefined) {
       return undefined;
     }
     const now = this._clock.now();
     if (this._timeBase?.term !== status.term) {
-      this._timeBase = { term: status.term, logicalMs: this._state.timeMs, at: now };
+      this._timeBase = { term: status.term, logicalMs: this._state.timeMs, localMs: now };
     }
-    return Math.floor(this._timeBase.logicalMs + (now - this._timeBase.at));
+    return Math.floor(this._timeBase.logicalMs + (now - this._timeBase.localMs));
   }
 }
 
-function buildNotLeader(leaderAddress: string | undefined): ExecuteResponse {
+function buildNotLeaderResponse(leaderAddress: string | undefined): ExecuteResponse {
   return create(ExecuteResponseSchema, {
     outcome: { case: 'notLeader', value: { leaderAddress: leaderAddress ?? '' } },
   });
