--- a/src/consensus/Leadership.ts
+++ b/src/consensus/Leadership.ts
@@ -118,7 +118,7 @@
   }
 
   /** Start of the last call that a member acknowledged; undefined if it acknowledged none. */
-  public getLastContactAt(identity: IMemberIdentity): number | undefined {
+  public getMemberConfirmedAt(identity: IMemberIdentity): number | undefined {
     return this._peers.get(formatMemberIdentity(identity))?.confirmedAt;
   }
 
--- a/src/consensus/MembershipChanges.ts
+++ b/src/consensus/MembershipChanges.ts
@@ -212,9 +212,9 @@
     if (isSameMember(getMemberIdentity(member), this._state.identity)) {
       return true;
     }
-    const contactAt =
-      leadership.getLastContactAt(getMemberIdentity(member)) ?? Number.NEGATIVE_INFINITY;
-    return this._state.clock.now() - contactAt < this._timings.maxElectionTimeoutMs;
+    const confirmedAt =
+      leadership.getMemberConfirmedAt(getMemberIdentity(member)) ?? Number.NEGATIVE_INFINITY;
+    return this._state.clock.now() - confirmedAt < this._timings.maxElectionTimeoutMs;
   }
 
   private _removeMember(
@@ -286,8 +286,10 @@
     const now = this._state.clock.now();
     return listVoters(this._state.membership).find((voter) => {
       const identity = getMemberIdentity(voter);
-      const contactAt = leadership.getLastContactAt(identity) ?? now;
-      return !isSameMember(identity, this._state.identity) && now - contactAt > policy.lostVoterMs;
+      const confirmedAt = leadership.getMemberConfirmedAt(identity) ?? now;
+      return (
+        !isSameMember(identity, this._state.identity) && now - confirmedAt > policy.lostVoterMs
+      );
     });
   }
 
