--- a/src/sidecar/Announcer.test.ts
+++ b/src/sidecar/Announcer.test.ts
@@ -12,8 +12,8 @@
   vi.useRealTimers();
 });
 
-it('announces a change that came up during an announcement at once, not an interval later', async () => {
-  // The interval between two announcements never ends.
+it('announces a change that occurs during an announcement at once, not an interval later', async () => {
+  // With fake timers the interval between two announcements never ends.
   vi.useFakeTimers({ toFake: ['setTimeout'] });
   const gate = new TestGate();
   const announced: boolean[] = [];
--- a/src/sidecar/Announcer.ts
+++ b/src/sidecar/Announcer.ts
@@ -1,4 +1,4 @@
-/** Tasks that announce the target to the entries, one for each entry. */
+/** Announces the target to the entries, with one task for each entry. */
 import { create } from '@bufbuild/protobuf';
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
@@ -13,17 +13,17 @@
 } from '../gen/redwingwharf/v1/control_pb.js';
 import type { ITargetRole } from '../settings/Types.js';
 import type { ITargetWatcher } from './Types.js';
-import { addWait, type PromptQueue } from './PromptQueue.js';
+import { addWaitEstimate, type PromptQueue } from './PromptQueue.js';
 import type { UsedChunks } from './UsedChunks.js';
 
-/** Four announcements fit into the expiry at the entry. */
+/** An entry removes a target after four intervals without an announcement. */
 const ANNOUNCE_INTERVAL_MS = 500;
 const ANNOUNCE_TIMEOUT_MS = 400;
 
-/** Used hashes in one announcement: 128 bytes. */
+/** Limit of the used hashes in one announcement, which take 128 bytes. */
 const MAX_USED_HASHES = 8;
 
-/** Evicted hashes in one announcement: bounds it to about 700 bytes. */
+/** Limit of the evicted hashes in one announcement; bounds the announcement to about 700 bytes. */
 const MAX_EVICTED_HASHES = 32;
 
 export interface IAnnouncerOptions {
@@ -35,14 +35,17 @@
   readonly announceTo: readonly string[];
 }
 
-/** Announces state and evictions. `notify` sends a change at once. */
+/**
+ * Sends each entry the state of the target, its load, and the evicted and used chunks, at an interval with
+ * jitter and at once after `announceNow`.
+ */
 export class Announcer {
   private readonly _wakers = new Set<AbortController>();
   private readonly _pendingEvictions = new Map<string, Uint8Array[]>();
   private readonly _announcedAt = new Map<string, number>();
   private _sequence = 0;
-  private _changes = 0;
-  private _isLeaving = false;
+  private _changeCount = 0;
+  private _isDrainRequested = false;
   private _isLoading = false;
 
   constructor(
@@ -56,32 +59,32 @@
     private readonly _log: ILog,
   ) {}
 
-  /** True while the target gets no new work. */
+  /** True while the target must get no new requests. */
   public get isDraining(): boolean {
-    return this._isLeaving || this._isLoading;
+    return this._isDrainRequested || this._isLoading;
   }
 
-  /** True when the target is being taken out of service. */
-  public get isLeaving(): boolean {
-    return this._isLeaving;
+  /** True when the target is being taken out of service, as opposed to loading weights. */
+  public get isDrainRequested(): boolean {
+    return this._isDrainRequested;
   }
 
-  /** Tells all entries that the target gets no new work. */
+  /** Announces the target as draining from now on. */
   public startDraining(): void {
     TEST_ONLY: if (isBroken('drain-notice')) return;
-    this._isLeaving = true;
-    this.notify();
+    this._isDrainRequested = true;
+    this.announceNow();
   }
 
-  /** Tells all entries that the target gets no new work while it loads weights. */
+  /** Sets whether the target is announced as draining because it loads weights. */
   public setLoading(isLoading: boolean): void {
     this._isLoading = isLoading;
-    this.notify();
+    this.announceNow();
   }
 
-  /** Announces now instead of at the next interval. */
-  public notify(): void {
-    this._changes += 1;
+  /** Announces to all entries now instead of at the end of the interval. */
+  public announceNow(): void {
+    this._changeCount += 1;
     for (const waker of this._wakers) {
       waker.abort();
     }
@@ -94,7 +97,7 @@
 
   private async _runEntry(entry: string, signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
-      const announcedChanges = this._changes;
+      const announcedChangeCount = this._changeCount;
       try {
         const client = this._clients.get(RosterService, entry);
         await client.announce(this._buildAnnouncement(entry), {
@@ -104,8 +107,8 @@
       } catch (error) {
         this._log.debug('announcement failed', { entry, error: describeError(error) });
       }
-      if (this._changes !== announcedChanges) {
-        // The state has changed while the announcement was under way.
+      if (this._changeCount !== announcedChangeCount) {
+        // The state changed while the announcement was being sent.
         continue;
       }
       const waker = new AbortController();
@@ -131,20 +134,21 @@
       weightsVersion: state.weightsVersion,
       draining: this.isDraining,
       healthy: state.isHealthy,
-      load: addWait(state.load, this._prompts, this._clock.now()),
+      load: addWaitEstimate(state.load, this._prompts, this._clock.now()),
       evicted: this._takeEvictions(entry),
-      used: this._listUsed(entry),
+      used: this._listUsedHashes(entry),
       sequence: BigInt(this._sequence),
     });
   }
 
-  private _listUsed(entry: string): Uint8Array[] {
+  /** Lists the hot chunks used since the last announcement to this entry. */
+  private _listUsedHashes(entry: string): Uint8Array[] {
     const since = this._announcedAt.get(entry) ?? -Infinity;
     this._announcedAt.set(entry, this._clock.now());
     return this._usedChunks.listSince(since, MAX_USED_HASHES);
   }
 
-  /** Each entry gets each eviction once. */
+  /** Removes and returns the next evictions for this entry. Each entry gets each eviction at most once. */
   private _takeEvictions(entry: string): Uint8Array[] {
     const evicted = this._watcher.takeEvicted(MAX_EVICTED_HASHES);
     for (const other of this._options.announceTo) {
--- a/src/sidecar/CacheIndex.ts
+++ b/src/sidecar/CacheIndex.ts
@@ -1,16 +1,22 @@
-/** Exact index of the chunks that the engine beside this sidecar holds, kept from its events. */
+/**
+ * Exact index of the chunks in the KV cache of the engine beside this sidecar, built from its cache
+ * events.
+ */
 
-/** Evictions kept for the next announcements; older ones are dropped, as evidence expires anyway. */
+/**
+ * Evictions queued for the next announcements. Older ones are dropped: what the entries record about
+ * cached chunks expires anyway.
+ */
 const MAX_PENDING_EVICTIONS = 256;
 
-/** One event of an engine's cache. */
+/** One event of an engine's KV cache, as the engine sends it. */
 export interface ICacheEvent {
   readonly seq: number;
   readonly type: 'stored' | 'removed';
   readonly hash: string;
 }
 
-/** Applies cache events in order. Lost events only make the index less exact. */
+/** Applies cache events in order of their numbers. Lost events only make the index less exact. */
 export class CacheIndex {
   private readonly _chunks = new Set<string>();
   private readonly _evicted: string[] = [];
@@ -28,7 +34,7 @@
     return this._chunks.has(hash);
   }
 
-  /** Applies the events that were not applied before and returns them. */
+  /** Applies the events newer than `lastSeq` and returns them. */
   public apply(events: readonly ICacheEvent[]): ICacheEvent[] {
     const applied: ICacheEvent[] = [];
     for (const event of events) {
@@ -41,18 +47,21 @@
     return applied;
   }
 
-  /** Forgets everything, for an engine that came back empty. */
+  /**
+   * Removes all chunks and restarts the event numbers, for an engine that restarted with an empty cache.
+   */
   public reset(): void {
     this.clear();
     this._lastSeq = 0;
   }
 
-  /** Forgets the chunks, for an engine that loaded other weights; its event numbers go on. */
+  /** Removes all chunks, for an engine that loaded other weights; its event numbers continue. */
   public clear(): void {
     this._chunks.clear();
     this._evicted.length = 0;
   }
 
+  /** Removes and returns the oldest queued evictions, at most `limit`. */
   public takeEvicted(limit: number): Uint8Array[] {
     return this._evicted.splice(0, limit).map((hash) => Buffer.from(hash, 'hex'));
   }
--- a/src/sidecar/ClaimTable.test.ts
+++ b/src/sidecar/ClaimTable.test.ts
@@ -7,7 +7,7 @@
 const ANSWER = create(AnswerSchema, { status: 201, body: new Uint8Array([1]) });
 
 describe('ClaimTable', () => {
-  it('accepts an attempt once, so that a duplicated dispatch does not run twice', () => {
+  it('accepts an attempt only once, so that a duplicate dispatch does not run twice', () => {
     const claims = new ClaimTable();
     expect(claims.accept(7n, 1)).toBe(true);
     expect(claims.accept(7n, 1)).toBe(false);
@@ -15,21 +15,21 @@
     expect(claims.accept(7n, 1)).toBe(false);
   });
 
-  it('never runs an attempt after it told that it has not run', () => {
+  it('never accepts an attempt after reporting it as "not run"', () => {
     const claims = new ClaimTable();
     expect(claims.query(7n, 1).progress).toBe(ClaimProgress.NOT_RUN);
     expect(claims.accept(7n, 1)).toBe(false);
     expect(claims.accept(7n, 2)).toBe(true);
   });
 
-  it('does not turn a running attempt into "not run" by a late duplicate', () => {
+  it('does not mark a running attempt as "not run" when a late duplicate is refused', () => {
     const claims = new ClaimTable();
     claims.accept(7n, 1);
     claims.refuse(7n, 1);
     expect(claims.query(7n, 1).progress).toBe(ClaimProgress.RUNNING);
   });
 
-  it('gives the answer to an entry that lost it', () => {
+  it('returns the stored answer to an entry that lost it', () => {
     const claims = new ClaimTable();
     claims.accept(7n, 1);
     claims.finish(7n, 1, ANSWER);
@@ -38,7 +38,7 @@
     expect(response.answer?.status).toBe(201);
   });
 
-  it('never says "not run" of claims that it had to forget', () => {
+  it('reports evicted claims as "unknown", never as "not run"', () => {
     const claims = new ClaimTable(2);
     for (const id of [1n, 2n, 3n, 4n]) {
       claims.accept(id, 1);
--- a/src/sidecar/Dispatches.ts
+++ b/src/sidecar/DispatchHandler.ts
@@ -1,4 +1,7 @@
-/** Handles dispatches from entries: gate, claim, target, answer. */
+/**
+ * Handles dispatches from entries: checks the ticket and the claim, forwards the request, relays the
+ * answer.
+ */
 import { create } from '@bufbuild/protobuf';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -25,38 +28,41 @@
 import type { ClaimTable } from './ClaimTable.js';
 import {
   copyForwardHeaders,
-  forwardOnce,
+  forwardOnNewConnection,
   forwardRequest,
-  HOP_HEADERS,
+  HOP_BY_HOP_HEADERS,
   type ForwardFailure,
   type IForwardRequest,
 } from './Forwarder.js';
 import { checkTicket, type IGateState } from './Gate.js';
-import { addWait, type PromptQueue } from './PromptQueue.js';
+import { addWaitEstimate, type PromptQueue } from './PromptQueue.js';
 import type { ITargetWatcher } from './Types.js';
 
-/** Status of a refusal: the entry reads the reason from the receipt. */
+/** HTTP status of a refusal. The entry reads the reason from the receipt. */
 const REFUSED_STATUS = 409;
 
-/** Status of a call that reached the target and gave no answer. */
-const BROKEN_STATUS = 502;
+/** HTTP status of a call that may have reached the target and got no complete answer. */
+const OUTCOME_UNKNOWN_STATUS = 502;
 
-export interface IDispatchOptions {
+export interface IDispatchHandlerOptions {
   readonly targetAddress: string;
   readonly getGateState: () => IGateState;
-  /** Called for each dispatch that passes the gate. */
+  /** Called for each dispatch that passes the checks of its ticket, claim and expected TTFT. */
   readonly onAccepted?: (ticket: Ticket) => void;
-  /** Present beside an engine. */
+  /** Undefined when the target is not an engine. */
   readonly prompts?: PromptQueue | undefined;
   readonly clock: IClock;
 }
 
-/** One handler for all dispatches to the target beside this sidecar. */
-export class Dispatches {
-  private _open = 0;
+/**
+ * Handles all dispatches to the target beside this sidecar. Refuses those whose ticket or claim does not
+ * allow them, forwards the others and answers with a receipt that says whether the target ran the request.
+ */
+export class DispatchHandler {
+  private _openCount = 0;
 
   constructor(
-    private readonly _options: IDispatchOptions,
+    private readonly _options: IDispatchHandlerOptions,
     private readonly _watcher: ITargetWatcher,
     private readonly _claims: ClaimTable,
     private readonly _feed: IFeed,
@@ -64,9 +70,9 @@
     private readonly _log: ILog,
   ) {}
 
-  /** Dispatches that have not ended yet. */
-  public get open(): number {
-    return this._open;
+  /** Number of dispatches that have not ended yet. */
+  public get openCount(): number {
+    return this._openCount;
   }
 
   public async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -76,26 +82,30 @@
       return;
     }
     const isResume = request.headers[STREAM_HEADER] !== undefined;
-    const refusal = this._checkTicket(ticket, isResume) ?? this._checkWait(ticket, isResume);
+    const refusal =
+      this._checkTicket(ticket, isResume) ?? this._checkExpectedTtft(ticket, isResume);
     if (refusal !== undefined) {
       this._refuse(request, response, ticket, refusal);
       return;
     }
     this._options.onAccepted?.(ticket);
-    this._open += 1;
+    this._openCount += 1;
     if (!isResume) {
       this._options.prompts?.begin(ticket, this._options.clock.now());
     }
     try {
       await this._forward(request, response, ticket);
     } finally {
-      this._open -= 1;
+      this._openCount -= 1;
       this._options.prompts?.end(ticket.requestId, false, this._options.clock.now());
     }
   }
 
-  /** A dispatch that would wait longer than its limit is better off elsewhere. */
-  private _checkWait(ticket: Ticket, isResume: boolean): RefusalReason | undefined {
+  /**
+   * Refuses a dispatch whose expected TTFT exceeds its limit, so that the entry can choose another
+   * target.
+   */
+  private _checkExpectedTtft(ticket: Ticket, isResume: boolean): RefusalReason | undefined {
     const { prompts, clock } = this._options;
     if (prompts === undefined || isResume || ticket.maxTtftMs === 0) {
       return undefined;
@@ -104,7 +114,7 @@
     return ttftMs > ticket.maxTtftMs ? RefusalReason.BUSY : undefined;
   }
 
-  /** The rest of a running stream is no new work, so a draining target still gives it. */
+  /** A draining target still resumes a running stream, as that is no new request. */
   private _checkTicket(ticket: Ticket, isResume: boolean): RefusalReason | undefined {
     const { claimId, claimAttempt } = ticket;
     const hasClaim = claimId > 0n;
@@ -135,7 +145,7 @@
       }
     };
     if (ticket.claimId > 0n) {
-      // A claimed call goes on when its entry is gone, so that its answer can be asked for.
+      // A claimed call continues when its entry disconnects, so that its answer can be queried later.
       await this._forwardClaimed(request, response, ticket);
       return;
     }
@@ -175,14 +185,14 @@
     response: ServerResponse,
     ticket: Ticket,
   ): Promise<void> {
-    // The body is complete before the claim is accepted: a caller that breaks off has run nothing.
-    const body = await readWhole(request);
+    // The body must be complete before the claim is accepted: if the caller disconnects, nothing has run.
+    const body = await readRequestBody(request);
     if (body === undefined || !this._claims.accept(ticket.claimId, ticket.claimAttempt)) {
       this._refuse(request, response, ticket, RefusalReason.CLAIM_SEEN);
       return;
     }
     let answer: Answer | undefined;
-    const result = await forwardOnce(
+    const result = await forwardOnNewConnection(
       this._options.targetAddress,
       this._buildForward(request, ticket, body),
       createTimeoutSignal(ticket.deadlineMs),
@@ -229,8 +239,10 @@
     const echoedId = reply.headers[REQUEST_ID_HEADER];
     if (typeof echoedId === 'string' && echoedId !== ticket.requestId) {
       reply.body.destroy();
-      this._log.error('target answered another request', { requestId: ticket.requestId });
-      const message = 'the target answered another request';
+      this._log.error('target answered with the id of another request', {
+        requestId: ticket.requestId,
+      });
+      const message = 'the target answered with the id of another request';
       this._answerFailure(response, ticket, { kind: 'broken', message });
       return;
     }
@@ -242,7 +254,7 @@
     }
     response.writeHead(reply.statusCode, headers);
     response.flushHeaders();
-    await passBody(reply.body, response, () => {
+    await relayBody(reply.body, response, () => {
       this._options.prompts?.end(ticket.requestId, true, this._options.clock.now());
     });
   }
@@ -267,7 +279,7 @@
     }
     const isNotRun = failure.kind === 'not_connected';
     const reason = isNotRun ? RefusalReason.TARGET_DOWN : RefusalReason.OUTCOME_UNKNOWN;
-    response.writeHead(isNotRun ? REFUSED_STATUS : BROKEN_STATUS, {
+    response.writeHead(isNotRun ? REFUSED_STATUS : OUTCOME_UNKNOWN_STATUS, {
       [RECEIPT_HEADER]: this._formatReceipt(ticket, !isNotRun, reason),
     });
     response.end();
@@ -287,7 +299,7 @@
         refusal,
         sidecarIncarnation: this._options.getGateState().sidecarIncarnation,
         targetIncarnation: state.incarnation,
-        load: addWait(state.load, prompts, clock.now()),
+        load: addWaitEstimate(state.load, prompts, clock.now()),
       }),
     );
   }
@@ -301,14 +313,15 @@
 function copyAnswerHeaders(headers: IHttpAnswer['headers']): Record<string, string> {
   const copy: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (typeof value === 'string' && !HOP_HEADERS.has(name) && !name.startsWith('x-rww-')) {
+    if (typeof value === 'string' && !HOP_BY_HOP_HEADERS.has(name) && !name.startsWith('x-rww-')) {
       copy[name] = value;
     }
   }
   return copy;
 }
 
-async function readWhole(request: IncomingMessage): Promise<Buffer | undefined> {
+/** Returns undefined when the connection broke before the body was complete. */
+async function readRequestBody(request: IncomingMessage): Promise<Buffer | undefined> {
   const parts: Buffer[] = [];
   try {
     for await (const part of request) {
@@ -320,8 +333,11 @@
   }
 }
 
-/** A break on either side destroys the other one; the entry sees an incomplete answer. */
-async function passBody(
+/**
+ * When the connection breaks on one side, the other one is destroyed, so the entry sees an incomplete
+ * answer.
+ */
+async function relayBody(
   body: AnswerBody,
   response: ServerResponse,
   onFirstChunk: () => void,
--- a/src/sidecar/EngineOrders.test.ts
+++ b/src/sidecar/EngineClient.test.ts
@@ -7,7 +7,7 @@
 import { ManualClock } from '../common/Clock.js';
 import { SILENT_LOG } from '../common/Log.js';
 import { Agent } from 'undici';
-import { EngineOrders } from './EngineOrders.js';
+import { EngineClient } from './EngineClient.js';
 import { TargetWatcher } from './TargetWatcher.js';
 
 const never = new AbortController().signal;
@@ -32,9 +32,9 @@
   return engine;
 }
 
-function connect(): EngineOrders {
+function connect(): EngineClient {
   const { port } = servers.at(-1)?.address() as AddressInfo;
-  return new EngineOrders(`127.0.0.1:${port}`, '/health');
+  return new EngineClient(`127.0.0.1:${port}`, '/health');
 }
 
 afterEach(() => {
@@ -44,43 +44,47 @@
   }
 });
 
-describe('EngineOrders', () => {
-  it('loads weights once and reports what an engine refuses', async () => {
+describe('EngineClient', () => {
+  it('loads weights once and reports when the engine refuses an outdated fencing token', async () => {
     const engine = await startEngine('strict');
-    const orders = connect();
-    const expected = await orders.readState(never);
+    const client = connect();
+    const expected = await client.readState(never);
     if (expected === undefined) {
       throw new Error('the engine does not answer');
     }
-    const order = { expected, version: 'w2', fence: 7n };
-    expect(await orders.load(order, () => true, never)).toEqual({ kind: 'done' });
-    const repeated = await orders.load(order, () => true, never);
+    const command = { expected, version: 'w2', fence: 7n };
+    expect(await client.loadWeights(command, () => true, never)).toEqual({ kind: 'done' });
+    const repeated = await client.loadWeights(command, () => true, never);
     expect(repeated.kind).toBe('not_sent');
     const found = { incarnation: engine.incarnation, weightsVersion: 'w2', highestFence: 7n };
     const outdated = { expected: found, version: 'w1', fence: 6n };
-    const refused = await orders.load(outdated, () => true, never);
+    const refused = await client.loadWeights(outdated, () => true, never);
     expect(refused).toEqual({ kind: 'refused', highestFence: 7n });
     expect(engine.orders.map(({ version }) => version)).toEqual(['w2']);
   });
 
-  it('sends nothing to another life of the engine or when the right to send has ended', async () => {
+  it('sends nothing to another incarnation of the engine or when `maySend` returns false', async () => {
     const engine = await startEngine('ignore');
-    const orders = connect();
+    const client = connect();
     const state = { incarnation: engine.incarnation, weightsVersion: 'w1', highestFence: 0n };
     const other = { ...state, incarnation: 'earlier' };
     const sent = [
-      await orders.load({ expected: other, version: 'w2', fence: 7n }, () => true, never),
-      await orders.load({ expected: state, version: 'w2', fence: 7n }, () => false, never),
+      await client.loadWeights({ expected: other, version: 'w2', fence: 7n }, () => true, never),
+      await client.loadWeights({ expected: state, version: 'w2', fence: 7n }, () => false, never),
     ];
     expect(sent.map(({ kind }) => kind)).toEqual(['not_sent', 'not_sent']);
     expect(engine.orders).toEqual([]);
   });
 
-  it('does not take a broken connection for "not loaded"', async () => {
+  it('reports the outcome as unknown, not as failed, when the connection breaks during a load', async () => {
     const engine = await startEngine('strict', 60_000);
-    const orders = connect();
+    const client = connect();
     const state = { incarnation: engine.incarnation, weightsVersion: 'w1', highestFence: 0n };
-    const loading = orders.load({ expected: state, version: 'w2', fence: 7n }, () => true, never);
+    const loading = client.loadWeights(
+      { expected: state, version: 'w2', fence: 7n },
+      () => true,
+      never,
+    );
     while (engine.highestFence === 0) {
       await new Promise((resolve) => setTimeout(resolve, 2));
     }
@@ -90,7 +94,7 @@
 });
 
 describe('TargetWatcher', () => {
-  it('forgets the chunks of the old weights, so that none is announced or kept for the new ones', async () => {
+  it('removes the chunks of the old weights, so that none is announced or counted for the new ones', async () => {
     const engine = await startEngine('strict');
     const { port } = servers.at(-1)?.address() as AddressInfo;
     const address = `127.0.0.1:${port}`;
@@ -105,15 +109,15 @@
     );
     engine.importChunk('00aa');
     await watcher.pollOnce(never);
-    expect(watcher.hot.isHeld('00aa')).toBe(true);
+    expect(watcher.hotChunks.isCached('00aa')).toBe(true);
     clock.advance(60_000);
-    expect(watcher.hot.list(1, clock.now())).toEqual(['00aa']);
+    expect(watcher.hotChunks.list(1, clock.now())).toEqual(['00aa']);
     await engine.loadWeights(7, 'w2');
     await watcher.pollOnce(never);
-    expect(watcher.hot.list(1, clock.now())).toEqual([]);
+    expect(watcher.hotChunks.list(1, clock.now())).toEqual([]);
     engine.importChunk('00bb');
     await watcher.pollOnce(never);
-    expect(watcher.hot.isHeld('00bb')).toBe(true);
+    expect(watcher.hotChunks.isCached('00bb')).toBe(true);
     await http.destroy();
   });
 });
--- a/src/sidecar/EngineOrders.ts
+++ b/src/sidecar/EngineClient.ts
@@ -1,4 +1,6 @@
-/** Control commands to the engine beside this sidecar, over its HTTP protocol. */
+/**
+ * Reads the state of the engine beside this sidecar and sends it load commands, over its HTTP protocol.
+ */
 import { buildConnector, Client, type Dispatcher } from 'undici';
 import { describeError } from '../common/Log.js';
 import { limitSignal } from '../common/Tasks.js';
@@ -8,42 +10,50 @@
 
 const ORDERS_PATH = '/admin/orders';
 
-/** What an engine reports about itself. */
+/** State that an engine reports about itself. */
 export interface IEngineState {
   readonly incarnation: string;
   readonly weightsVersion: string;
-  /** Highest fencing token of this life of the engine; undefined when the engine keeps none. */
+  /**
+   * Highest fencing token that this incarnation has received; undefined if the engine does not report it.
+   */
   readonly highestFence: bigint | undefined;
 }
 
-/** One command to load weights. */
-export interface ILoadOrder {
-  /** The state in which the engine was found; the command is sent only while it is still in it. */
+/** A command to load weights. */
+export interface ILoadCommand {
+  /**
+   * The engine's state when the load was decided; the command is sent only if it has not changed since.
+   */
   readonly expected: IEngineState;
   readonly version: string;
   readonly fence: bigint;
 }
 
-/** What became of a command. */
-export type OrderOutcome =
+/** Outcome of a load command. */
+export type LoadOutcome =
   | { readonly kind: 'done' }
-  /** Nothing was sent. */
+  /** The command was not sent. */
   | { readonly kind: 'not_sent'; readonly reason: string }
-  /** The engine has seen a higher fencing token. */
+  /** The engine has received a higher fencing token. */
   | { readonly kind: 'refused'; readonly highestFence: bigint | undefined }
   /** The engine answered that it did not load the weights. */
   | { readonly kind: 'failed'; readonly reason: string }
-  /** The command was sent; it may be carried out now, later or never. */
+  /** The command was sent; the engine may execute it now, later or never. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** Reads the engine's state and sends it commands. */
-export interface IEngineOrders {
+/** Reads the engine's state and sends it load commands. */
+export interface IEngineClient {
   /** Returns undefined when the engine does not answer. */
   readState(signal: AbortSignal): Promise<IEngineState | undefined>;
   /**
-   * Sends one command. `maySend` is asked once more after the last wait before the command is written.
+   * Sends one command. `maySend` is called after the last asynchronous step before the command is sent.
    */
-  load(order: ILoadOrder, maySend: () => boolean, signal: AbortSignal): Promise<OrderOutcome>;
+  loadWeights(
+    command: ILoadCommand,
+    maySend: () => boolean,
+    signal: AbortSignal,
+  ): Promise<LoadOutcome>;
 }
 
 interface IStateReply {
@@ -64,30 +74,33 @@
   };
 }
 
-/** Explains why the engine's state forbids the command, or returns undefined. */
-export function explainMismatch(state: IEngineState, order: ILoadOrder): string | undefined {
-  if (state.incarnation !== order.expected.incarnation) {
+/** Explains why the engine's state is not the one that the command expects; undefined when it is. */
+export function explainMismatch(state: IEngineState, command: ILoadCommand): string | undefined {
+  if (state.incarnation !== command.expected.incarnation) {
     return 'the engine has restarted';
   }
-  if (state.weightsVersion !== order.expected.weightsVersion) {
-    return `the engine has weights ${state.weightsVersion} by now`;
+  if (state.weightsVersion !== command.expected.weightsVersion) {
+    return `the engine has other weights now: ${state.weightsVersion}`;
   }
-  if (state.highestFence !== order.expected.highestFence) {
-    return 'the engine has got another command by now';
+  if (state.highestFence !== command.expected.highestFence) {
+    return 'the engine has received another command';
   }
   return undefined;
 }
 
 /**
- * A connector that connects once. The state is read over the connection that carries the command, so
- * that a command never reaches a later life of the engine that the client connected to on its own.
+ * Creates a connector that connects only once. The engine's state is read over the same connection that
+ * carries the command: an automatic reconnect could send the command to a later incarnation of the engine.
  */
-function createSingleConnector(): buildConnector.connector {
+function createSingleUseConnector(): buildConnector.connector {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   let isUsed = false;
   return (options, callback) => {
     if (isUsed) {
-      callback(new Error('the connection to the engine was lost'), null);
+      callback(
+        new Error('the connection to the engine was lost; it is not reopened for the same command'),
+        null,
+      );
       return;
     }
     isUsed = true;
@@ -96,13 +109,13 @@
 }
 
 /**
- * Commands over one connection each.
+ * Client of one engine. Each call opens its own connection and closes it at the end.
  *
  * @example
- * const orders = new EngineOrders('10.0.0.20:9000', '/health');
- * const state = await orders.readState(signal);
+ * const client = new EngineClient('10.0.0.20:9000', '/health');
+ * const state = await client.readState(signal);
  */
-export class EngineOrders implements IEngineOrders {
+export class EngineClient implements IEngineClient {
   constructor(
     private readonly _address: string,
     private readonly _healthPath: string,
@@ -111,7 +124,7 @@
   public async readState(signal: AbortSignal): Promise<IEngineState | undefined> {
     const client = this._connect();
     try {
-      return await this._read(client, signal);
+      return await this._requestState(client, signal);
     } catch {
       return undefined;
     } finally {
@@ -119,23 +132,23 @@
     }
   }
 
-  public async load(
-    order: ILoadOrder,
+  public async loadWeights(
+    command: ILoadCommand,
     maySend: () => boolean,
     signal: AbortSignal,
-  ): Promise<OrderOutcome> {
+  ): Promise<LoadOutcome> {
     const client = this._connect();
     try {
-      const state = await this._read(client, signal);
-      const mismatch = explainMismatch(state, order);
+      const state = await this._requestState(client, signal);
+      const mismatch = explainMismatch(state, command);
       if (mismatch !== undefined) {
         return { kind: 'not_sent', reason: mismatch };
       }
-      // No wait between this check and the write of the command.
+      // There must be no await between this check and the sending of the command.
       if (!maySend()) {
-        return { kind: 'not_sent', reason: 'the right to send it has ended' };
+        return { kind: 'not_sent', reason: 'the command may no longer be sent' };
       }
-      return await this._send(client, order, signal);
+      return await this._sendCommand(client, command, signal);
     } catch (error) {
       return { kind: 'not_sent', reason: describeError(error) };
     } finally {
@@ -145,13 +158,13 @@
 
   private _connect(): Client {
     return new Client(`http://${this._address}`, {
-      connect: createSingleConnector(),
+      connect: createSingleUseConnector(),
       headersTimeout: 0,
       bodyTimeout: 0,
     });
   }
 
-  private async _read(client: Client, signal: AbortSignal): Promise<IEngineState> {
+  private async _requestState(client: Client, signal: AbortSignal): Promise<IEngineState> {
     const response = await client.request({
       path: this._healthPath,
       method: 'GET',
@@ -164,18 +177,18 @@
     return decodeState(reply);
   }
 
-  /** Any failure after the request was handed over leaves the outcome unknown. */
-  private async _send(
+  /** A failure after the request was passed to the HTTP client leaves the outcome unknown. */
+  private async _sendCommand(
     client: Client,
-    order: ILoadOrder,
+    command: ILoadCommand,
     signal: AbortSignal,
-  ): Promise<OrderOutcome> {
+  ): Promise<LoadOutcome> {
     try {
       const response = await client.request({
         path: ORDERS_PATH,
         method: 'POST',
         headers: { 'content-type': 'application/json' },
-        body: JSON.stringify({ fence: Number(order.fence), version: order.version }),
+        body: JSON.stringify({ fence: Number(command.fence), version: command.version }),
         signal,
       });
       return await readOutcome(response);
@@ -185,7 +198,7 @@
   }
 }
 
-async function readOutcome(response: Dispatcher.ResponseData): Promise<OrderOutcome> {
+async function readOutcome(response: Dispatcher.ResponseData): Promise<LoadOutcome> {
   if (response.statusCode === 200) {
     await response.body.dump();
     return { kind: 'done' };
--- a/src/sidecar/Forwarder.ts
+++ b/src/sidecar/Forwarder.ts
@@ -1,4 +1,4 @@
-/** Sends accepted dispatches to the target. */
+/** Forwards accepted dispatches to the target. */
 import { Client, type Dispatcher } from 'undici';
 import type { IncomingMessage } from 'node:http';
 import { isNeverConnected } from '../common/ConnectErrors.js';
@@ -8,10 +8,10 @@
 
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Why a dispatch got no answer. */
+/** Why a dispatch got no complete answer; after 'not_connected' the target has received nothing. */
 export type ForwardFailure = IFailure<'not_connected'> | IFailure<'broken'>;
 
-/** A request as it goes to the target. */
+/** A request as it is sent to the target. */
 export interface IForwardRequest {
   readonly method: string;
   readonly path: string;
@@ -20,7 +20,9 @@
   readonly timeoutMs: number;
 }
 
-/** Copies the request's headers without those of the internal hop. */
+/**
+ * Copies the request's headers without the internal ones (`x-rww-`) and those of `HOP_BY_HOP_HEADERS`.
+ */
 export function copyForwardHeaders(
   request: IncomingMessage,
   requestId: string,
@@ -28,7 +30,7 @@
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers)) {
     const isInternal = name.startsWith('x-rww-');
-    if (typeof value === 'string' && !isInternal && !HOP_HEADERS.has(name)) {
+    if (typeof value === 'string' && !isInternal && !HOP_BY_HOP_HEADERS.has(name)) {
       headers[name] = value;
     }
   }
@@ -36,8 +38,8 @@
   return headers;
 }
 
-/** Headers that belong to one connection, or that the client library sets itself. */
-export const HOP_HEADERS: ReadonlySet<string> = new Set([
+/** Headers that apply to one connection only, or that the HTTP client library sets itself. */
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -49,7 +51,7 @@
   'expect',
 ]);
 
-/** Sends a repeatable request over a pooled connection. */
+/** Sends a request over a connection of `http`. With a pool, the request must be repeatable. */
 export async function forwardRequest(
   http: Dispatcher,
   address: string,
@@ -73,10 +75,10 @@
 }
 
 /**
- * Sends a request over a connection of its own. An idle pooled connection may break just when it is
- * used, which would leave open whether the call ran; with a new one a connect failure is a proof.
+ * Sends a request over a new connection. An idle pooled connection may break at the moment of its use,
+ * and then it is unknown whether the call ran; a failure to connect proves that it did not run.
  */
-export async function forwardOnce(
+export async function forwardOnNewConnection(
   address: string,
   request: IForwardRequest,
   signal: AbortSignal,
@@ -91,7 +93,10 @@
     await readAnswer(response.val);
     return Ok(undefined);
   } catch (error) {
-    return Err({ kind: 'broken', message: `the answer broke off: ${String(error)}` });
+    return Err({
+      kind: 'broken',
+      message: `the answer of the target is incomplete: ${String(error)}`,
+    });
   } finally {
     await client.destroy();
   }
@@ -101,5 +106,5 @@
   if (isNeverConnected(error)) {
     return { kind: 'not_connected', message: `no connection to the target: ${String(error)}` };
   }
-  return { kind: 'broken', message: `the call to the target broke off: ${String(error)}` };
+  return { kind: 'broken', message: `the call to the target failed: ${String(error)}` };
 }
--- a/src/sidecar/Gate.test.ts
+++ b/src/sidecar/Gate.test.ts
@@ -21,7 +21,9 @@
   isDraining: false,
 };
 
-/** Copy in which the client account changed at revision 20 and may use one service. */
+/**
+ * Configuration copy at revision 30; its client account changed at revision 20 and may use `services`.
+ */
 function createFeed(services: string[]): FeedCopy {
   const account = create(ClientAccountSchema, { id: 'pag', services });
   const feed = new FeedCopy();
@@ -61,27 +63,35 @@
 describe('checkTicket', () => {
   const feed = createFeed(['lace']);
 
-  it('passes a ticket that matches', () => {
+  it('accepts a ticket that matches the state', () => {
     expect(checkTicket(createTicket(), STATE, feed)).toBeUndefined();
   });
 
   it.each([
     ['another target', { target: 'lace-2' }, RefusalReason.OTHER_TARGET],
     [
-      'an earlier life of the sidecar',
+      'an earlier incarnation of the sidecar',
       { sidecarIncarnation: new Uint8Array([9]) },
       RefusalReason.OTHER_SIDECAR_INCARNATION,
     ],
-    ['a dead engine', { targetIncarnation: 'engine-0' }, RefusalReason.OTHER_TARGET_INCARNATION],
+    [
+      'an earlier incarnation of the engine',
+      { targetIncarnation: 'engine-0' },
+      RefusalReason.OTHER_TARGET_INCARNATION,
+    ],
     ['older weights', { weightsVersion: 'w1' }, RefusalReason.OTHER_WEIGHTS],
-    ['an old configuration', { revision: 19n }, RefusalReason.OLD_REVISION],
+    ['an outdated configuration', { revision: 19n }, RefusalReason.OLD_REVISION],
     ['a deleted account', { clientAccount: 'gone' }, RefusalReason.CLIENT_ACCOUNT_NOT_ALLOWED],
-    ['a service not allowed', { service: 'other' }, RefusalReason.CLIENT_ACCOUNT_NOT_ALLOWED],
+    [
+      'a service that the account may not use',
+      { service: 'other' },
+      RefusalReason.CLIENT_ACCOUNT_NOT_ALLOWED,
+    ],
   ] as const)('refuses a dispatch meant for %s', (_name, fields, reason) => {
     expect(checkTicket(createTicket(fields as ITicketFields), STATE, feed)).toBe(reason);
   });
 
-  it('refuses new work while draining and while the target is down', () => {
+  it('refuses new requests while the target is draining or down', () => {
     expect(checkTicket(createTicket(), { ...STATE, isDraining: true }, feed)).toBe(
       RefusalReason.DRAINING,
     );
@@ -90,7 +100,7 @@
     );
   });
 
-  it('trusts an entry whose configuration is newer than its own copy', () => {
+  it('accepts an unknown account from an entry whose configuration is newer than its own copy', () => {
     const ticket = createTicket({ clientAccount: 'new', revision: 31n });
     expect(checkTicket(ticket, STATE, feed)).toBeUndefined();
   });
--- a/src/sidecar/Gate.ts
+++ b/src/sidecar/Gate.ts
@@ -1,4 +1,7 @@
-/** Last check before a target: refuses dispatches that were meant for another state of it. */
+/**
+ * Last check before the target: refuses dispatches whose ticket does not match the current state of the
+ * target.
+ */
 import { fromBinary } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
 import { isBroken } from '../common/TestSwitches.js';
@@ -17,8 +20,8 @@
 }
 
 /**
- * Returns the reason to refuse, or undefined when the dispatch may go to the target. A refusal means
- * that nothing ran.
+ * Returns the reason to refuse the dispatch, or undefined when it may be forwarded to the target. A
+ * refusal guarantees that the target did not execute the request.
  *
  * @example
  * const reason = checkTicket(ticket, state, feed);
@@ -50,7 +53,7 @@
   return checkConfiguration(ticket, feed);
 }
 
-/** Compares the ticket with this sidecar's own copy of the configuration, as far as it has one. */
+/** Compares the ticket with the items in this sidecar's own copy of the configuration. */
 function checkConfiguration(ticket: Ticket, feed: IFeed): RefusalReason | undefined {
   const service = feed.getItem(`service/${ticket.service}`);
   if (service !== undefined && service.revision > ticket.revision) {
@@ -61,7 +64,7 @@
   }
   const item = feed.getItem(`clientAccount/${ticket.clientAccount}`);
   if (item === undefined) {
-    // This copy may lag behind the entry's; only a newer copy can tell that the account is gone.
+    // This copy may lag behind the entry's: only a newer copy proves that the account was deleted.
     return BigInt(feed.revision) > ticket.revision
       ? RefusalReason.CLIENT_ACCOUNT_NOT_ALLOWED
       : undefined;
--- a/src/sidecar/HotChunks.ts
+++ b/src/sidecar/HotChunks.ts
@@ -1,24 +1,24 @@
-/** Which chunks of one weights version the engine uses often, told by its cache events. */
+/** Chunks of one weights version that the engine uses often, derived from its cache events. */
 import type { ICacheEvent } from './CacheIndex.js';
 
-/** Engines evict idle chunks within seconds; a chunk that stays longer than this is in use. */
+/** Engines evict idle chunks within seconds, so a chunk that stays cached this long is in use. */
 const HOT_AGE_MS = 8_000;
 
-/** A chunk that was computed this often is wanted again and again. */
-const HOT_STORES = 2;
+/** A chunk that was stored this often is requested repeatedly. */
+const HOT_STORE_COUNT = 2;
 
-/** Chunks remembered after their eviction; about 1 MB. */
+/** Limit of the stored chunks, cached or evicted; this many take about 1 MB. */
 const MAX_CHUNKS = 10_000;
 
 interface IChunkUse {
-  stores: number;
-  /** Time since which the engine holds the chunk; undefined when it does not. */
-  heldSince: number | undefined;
+  storeCount: number;
+  /** Time at which the engine last stored the chunk; undefined when the chunk is not cached. */
+  cachedSince: number | undefined;
 }
 
 /**
- * Counts how often chunks were stored and how long they stay. It remembers them when the engine
- * restarts, and forgets them when its weights change.
+ * Counts how often each chunk was stored and since when it is cached. The counts survive a restart of
+ * the engine (`markAllEvicted`) and are removed when its weights change (`clear`).
  */
 export class HotChunks {
   private readonly _uses = new Map<string, IChunkUse>();
@@ -29,30 +29,30 @@
     }
   }
 
-  /** Marks all chunks as not held, for an engine that returned empty. */
-  public release(): void {
+  /** Marks all chunks as not cached, for an engine that restarted with an empty cache. */
+  public markAllEvicted(): void {
     for (const use of this._uses.values()) {
-      use.heldSince = undefined;
+      use.cachedSince = undefined;
     }
   }
 
-  /** Forgets all chunks, for other weights. */
+  /** Removes all chunks, for an engine that has other weights. */
   public clear(): void {
     this._uses.clear();
   }
 
-  public isHeld(hash: string): boolean {
-    return this._uses.get(hash)?.heldSince !== undefined;
+  public isCached(hash: string): boolean {
+    return this._uses.get(hash)?.cachedSince !== undefined;
   }
 
   /**
-   * Hot chunks, those stored most often first. A chunk is used whenever one after it in a chain is, so
-   * the beginning of a chain is never behind its end.
+   * Returns the hot chunks, those stored most often first. Each use of a chunk also uses the chunks before
+   * it in its chain, so the beginning of a chain never comes after its end.
    */
   public list(limit: number, now: number): string[] {
     return [...this._uses]
       .filter(([, use]) => isHot(use, now))
-      .sort(([, left], [, right]) => right.stores - left.stores)
+      .sort(([, left], [, right]) => right.storeCount - left.storeCount)
       .slice(0, limit)
       .map(([hash]) => hash);
   }
@@ -61,16 +61,16 @@
     const use = this._uses.get(event.hash);
     if (event.type === 'removed') {
       if (use !== undefined) {
-        use.heldSince = undefined;
+        use.cachedSince = undefined;
       }
       return;
     }
     if (use !== undefined) {
-      use.stores += 1;
-      use.heldSince = now;
+      use.storeCount += 1;
+      use.cachedSince = now;
       return;
     }
-    this._uses.set(event.hash, { stores: 1, heldSince: now });
+    this._uses.set(event.hash, { storeCount: 1, cachedSince: now });
     const [oldest] = this._uses.keys();
     if (this._uses.size > MAX_CHUNKS && oldest !== undefined) {
       this._uses.delete(oldest);
@@ -80,6 +80,7 @@
 
 function isHot(use: IChunkUse, now: number): boolean {
   return (
-    use.stores >= HOT_STORES || (use.heldSince !== undefined && now - use.heldSince >= HOT_AGE_MS)
+    use.storeCount >= HOT_STORE_COUNT ||
+    (use.cachedSince !== undefined && now - use.cachedSince >= HOT_AGE_MS)
   );
 }
--- a/src/sidecar/KvCacheExchange.test.ts
+++ b/src/sidecar/KvCacheExchange.test.ts
@@ -15,7 +15,7 @@
 import { AnnounceRequestSchema } from '../gen/redwingwharf/v1/control_pb.js';
 import { createPolicy } from '../policy/CreatePolicy.js';
 import { Roster } from '../roster/Roster.js';
-import { EngineOrders } from './EngineOrders.js';
+import { EngineClient } from './EngineClient.js';
 import { HotChunks } from './HotChunks.js';
 import { KvCacheExchange } from './KvCacheExchange.js';
 import { KvCacheStore } from './KvCacheStore.js';
@@ -23,7 +23,7 @@
 const never = new AbortController().signal;
 const CHUNK_BYTES = 8_000;
 const PROMPTS = ['a', 'b', 'c', 'd'].map((letter) => letter.repeat(5 * CHUNK_BYTES + 400));
-const HOT_MS = 8_000;
+const HOT_AGE_MS = 8_000;
 
 const servers: Server[] = [];
 const agents: Agent[] = [];
@@ -38,21 +38,21 @@
 interface IStore {
   readonly address: string;
   readonly requests: string[];
-  mostAtOnce: number;
+  maxConcurrent: number;
 }
 
 async function startStore(): Promise<IStore> {
   const server = createKvStoreServer(1_000);
   const [handle] = server.listeners('request') as RequestListener[];
-  const store = { address: '', requests: [] as string[], mostAtOnce: 0 };
-  let atOnce = 0;
+  const store = { address: '', requests: [] as string[], maxConcurrent: 0 };
+  let concurrent = 0;
   server.removeAllListeners('request');
   server.on('request', (request, response) => {
     store.requests.push(`${request.method ?? ''} ${request.url ?? ''}`);
-    atOnce += 1;
-    store.mostAtOnce = Math.max(store.mostAtOnce, atOnce);
+    concurrent += 1;
+    store.maxConcurrent = Math.max(store.maxConcurrent, concurrent);
     response.on('close', () => {
-      atOnce -= 1;
+      concurrent -= 1;
     });
     handle?.(request, response);
   });
@@ -60,21 +60,21 @@
   return store;
 }
 
-interface IEngineSide {
+interface IEngineFixture {
   readonly engine: Engine;
   readonly exchange: KvCacheExchange;
-  readonly hot: HotChunks;
+  readonly hotChunks: HotChunks;
   readonly clock: ManualClock;
-  /** Runs after the round has read the engine's state. */
+  /** Called after the round has read the engine's state. */
   afterRead: () => void;
 }
 
-async function startSide(
+async function startEngineFixture(
   id: string,
   store: IStore,
   weightsVersion = 'w1',
-  hot = new HotChunks(),
-): Promise<IEngineSide> {
+  hotChunks = new HotChunks(),
+): Promise<IEngineFixture> {
   const engine = new Engine({
     model: 'm',
     weightsVersion,
@@ -91,25 +91,25 @@
   agents.push(http);
   const clock = new ManualClock();
   const listPeers = (): Promise<string[]> => {
-    side.afterRead();
+    fixture.afterRead();
     return Promise.resolve(['e1', 'e2'].filter((peer) => peer !== id));
   };
   const exchange = new KvCacheExchange(
     { id, address, listPeers },
     {
       store: new KvCacheStore(store.address, 'm', http),
-      engine: new EngineOrders(address, '/health'),
-      hot,
+      engine: new EngineClient(address, '/health'),
+      hotChunks,
       http,
       clock,
       log: SILENT_LOG,
     },
   );
-  const side = { engine, exchange, hot, clock, afterRead: (): void => undefined };
-  return side;
+  const fixture = { engine, exchange, hotChunks, clock, afterRead: (): void => undefined };
+  return fixture;
 }
 
-/** Sends each prompt once; returns the tokens that the engine had to compute. */
+/** Sends each prompt once. Returns the number of prompt tokens that the engine had to compute. */
 async function computePrompts(engine: Engine): Promise<number> {
   let computed = 0;
   for (const prompt of PROMPTS) {
@@ -129,11 +129,11 @@
   return computed;
 }
 
-/** Makes what the engine holds hot. */
-function warmHot(side: IEngineSide): void {
-  const events = side.engine.listEvents(0) as Parameters<HotChunks['apply']>[0];
-  side.hot.apply(events, side.clock.now());
-  side.clock.advance(HOT_MS);
+/** Advances the clock until all chunks that the engine holds count as hot. */
+function markHot(fixture: IEngineFixture): void {
+  const events = fixture.engine.listEvents(0) as Parameters<HotChunks['apply']>[0];
+  fixture.hotChunks.apply(events, fixture.clock.now());
+  fixture.clock.advance(HOT_AGE_MS);
 }
 
 afterEach(async () => {
@@ -145,55 +145,55 @@
 });
 
 describe('KvCacheExchange', () => {
-  it('spares an empty engine the recomputation of hot prefixes, within the bandwidth bounds', async () => {
+  it('saves an empty engine the recomputation of hot prefixes, within the bandwidth bounds', async () => {
     const store = await startStore();
-    const warm = await startSide('e1', store);
+    const warm = await startEngineFixture('e1', store);
     const coldTokens = await computePrompts(warm.engine);
-    warmHot(warm);
+    markHot(warm);
     const startedAt = performance.now();
     expect(await warm.exchange.exchangeOnce(never)).toEqual({ imported: 0, exported: 20 });
     expect(performance.now() - startedAt).toBeGreaterThan(850);
     expect(await warm.exchange.exchangeOnce(never)).toEqual({ imported: 0, exported: 0 });
-    const empty = await startSide('e2', store);
+    const empty = await startEngineFixture('e2', store);
     expect(await empty.exchange.exchangeOnce(never)).toEqual({ imported: 20, exported: 0 });
-    expect(store.mostAtOnce).toBeLessThanOrEqual(2);
+    expect(store.maxConcurrent).toBeLessThanOrEqual(2);
     expect(coldTokens).toBe(40_400);
     expect(await computePrompts(empty.engine)).toBe(400);
   });
 
-  it('fills an engine that returned empty from what its own sidecar exported', async () => {
+  it('imports what the same sidecar exported after its engine restarted with an empty cache', async () => {
     const store = await startStore();
-    const before = await startSide('e1', store);
+    const before = await startEngineFixture('e1', store);
     await computePrompts(before.engine);
-    warmHot(before);
+    markHot(before);
     await before.exchange.exchangeOnce(never);
-    before.hot.release();
-    const after = await startSide('e1', store, 'w1', before.hot);
+    before.hotChunks.markAllEvicted();
+    const after = await startEngineFixture('e1', store, 'w1', before.hotChunks);
     expect((await after.exchange.exchangeOnce(never)).imported).toBe(20);
   });
 
-  it('imports nothing of other weights', async () => {
+  it('does not import chunks of other weights', async () => {
     const store = await startStore();
-    const warm = await startSide('e1', store);
+    const warm = await startEngineFixture('e1', store);
     await computePrompts(warm.engine);
-    warmHot(warm);
+    markHot(warm);
     await warm.exchange.exchangeOnce(never);
-    const newer = await startSide('e2', store, 'w2');
+    const newer = await startEngineFixture('e2', store, 'w2');
     expect((await newer.exchange.exchangeOnce(never)).imported).toBe(0);
     const foreign = store.requests.filter((request) => request.includes('/w2/chunks/'));
     expect(foreign).toEqual([]);
   });
 
-  it('keeps no chunk in the store when the weights changed while it was read', async () => {
+  it('stores no chunk when the engine received a load command while the chunk was read', async () => {
     const store = await startStore();
-    const side = await startSide('e1', store);
-    await computePrompts(side.engine);
-    warmHot(side);
-    const [hash = ''] = side.hot.list(1, side.clock.now());
-    side.afterRead = () => {
-      side.engine.highestFence = 7;
+    const fixture = await startEngineFixture('e1', store);
+    await computePrompts(fixture.engine);
+    markHot(fixture);
+    const [hash = ''] = fixture.hotChunks.list(1, fixture.clock.now());
+    fixture.afterRead = () => {
+      fixture.engine.highestFence = 7;
     };
-    expect((await side.exchange.exchangeOnce(never)).exported).toBe(0);
+    expect((await fixture.exchange.exchangeOnce(never)).exported).toBe(0);
     const kept = await fetch(`http://${store.address}/m/w1/chunks/${hash}`);
     expect(kept.status).toBe(404);
   });
@@ -231,7 +231,7 @@
     return chain;
   }
 
-  it('have none in common between client accounts or weights versions, so no entry crosses', () => {
+  it('differ between client accounts and between weights versions, so no cached chunk is shared', () => {
     const prompt = 'shared standard '.repeat(1_500);
     const scope = fc.record({ account: fc.string(), version: fc.string() });
     fc.assert(
--- a/src/sidecar/KvCacheExchange.ts
+++ b/src/sidecar/KvCacheExchange.ts
@@ -1,67 +1,72 @@
-/** Task that exports hot chunks to the KV-cache store and imports them into an empty engine. */
+/**
+ * Task that exports hot chunks to the KV-cache store and imports them into an engine with an empty cache.
+ */
 import type { Readable } from 'node:stream';
 import type { Dispatcher } from 'undici';
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import { isAborted, runPeriodically, sleep } from '../common/Tasks.js';
-import type { IEngineOrders, IEngineState } from './EngineOrders.js';
+import type { IEngineClient, IEngineState } from './EngineClient.js';
 import type { HotChunks } from './HotChunks.js';
 import { openBlob, putBlob, type KvCacheStore } from './KvCacheStore.js';
 
 const EXCHANGE_INTERVAL_MS = 2_000;
 
-/** Hot chunks exported, listed and imported for one engine. */
+/** Limit of the hot chunks that are exported, listed and imported for one engine. */
 const MAX_HOT_CHUNKS = 64;
 
 /**
- * The roster of a region with 1,000 engines takes about 200 KB. Reading it once in this time, besides
- * once for each life of the engine, stays below 1 KB/s.
+ * The roster of a region with 1,000 engines takes about 200 KB. Reading it at this interval, and once
+ * more for each incarnation of the engine, takes less than 1 KB/s.
  */
-const LISTS_INTERVAL_MS = 300_000;
+const LISTS_READ_INTERVAL_MS = 300_000;
 
-/** Lists read at a time, of peers chosen at random. */
+/** Limit of the peers, chosen at random, whose lists are read at a time. */
 const MAX_PEER_LISTS = 8;
 
-/** Bounds of the bandwidth that the exchange takes from requests. */
-const MAX_IN_PROGRESS = 2;
-const CHUNKS_PER_SECOND = 20;
+/** Bound the bandwidth that the exchange takes from requests. */
+const MAX_CONCURRENT_TRANSFERS = 2;
+const MAX_CHUNKS_PER_SECOND = 20;
 
-/** The engine of the exchange. */
+/** The engine whose chunks are exchanged. */
 export interface IExchangeTarget {
   readonly id: string;
   readonly address: string;
-  /** Other engines of the model. */
+  /** Returns the ids of the other engines of the model. */
   listPeers(signal: AbortSignal): Promise<readonly string[]>;
 }
 
 export interface IExchangeServices {
   readonly store: KvCacheStore;
-  readonly engine: IEngineOrders;
-  readonly hot: HotChunks;
+  readonly engine: IEngineClient;
+  readonly hotChunks: HotChunks;
   readonly http: Dispatcher;
   readonly clock: IClock;
   readonly log: ILog;
 }
 
-/** What one round moved. */
+/** Number of chunks that one round transferred. */
 export interface IExchangeRound {
   readonly imported: number;
   readonly exported: number;
 }
 
 /**
- * Runs beside the requests, never on their path. Chunk hashes differ between client accounts and weights
- * versions, and each transfer checks that the engine still has the weights that the path names.
+ * Transfers hot chunks between one engine and the KV-cache store in the background; no request waits for
+ * it. Chunk hashes differ between client accounts and weights versions, and each transfer checks that the
+ * engine still has the weights version that is named in the path of the store.
  */
 export class KvCacheExchange {
-  /** The life and weights of the engine into which hot chunks were imported. */
-  private _filled = '';
-  private _exportedVersion = '';
-  private readonly _exported = new Set<string>();
-  private _ownList = '';
-  /** Chunks that this target and some peers have listed as exported. */
-  private _listed: readonly string[] = [];
-  private _listedAt = -Infinity;
+  /** Incarnation and weights of the engine at the last import (see `formatEngineKey`). */
+  private _importedEngineKey = '';
+  /** Weights version to which `_hashesInStore` and `_lastWrittenList` apply. */
+  private _storeVersion = '';
+  /** Chunks that this sidecar exported or imported, so that the store has them. */
+  private readonly _hashesInStore = new Set<string>();
+  private _lastWrittenList = '';
+  /** Hashes of the chunks that this target and some peers have listed as exported. */
+  private _listedHashes: readonly string[] = [];
+  private _listsReadAt = -Infinity;
 
   constructor(
     private readonly _target: IExchangeTarget,
@@ -69,7 +74,7 @@
     private readonly _random: () => number = Math.random,
   ) {}
 
-  /** Exchanges until the signal is aborted. */
+  /** Runs a round at each interval until the signal is aborted. */
   public async run(signal: AbortSignal): Promise<void> {
     await runPeriodically(
       EXCHANGE_INTERVAL_MS,
@@ -83,25 +88,31 @@
     );
   }
 
-  /** Imports after a restart or a load, then exports what has become hot. */
+  /**
+   * Runs one round: imports if the engine restarted or loaded weights, then exports chunks that became
+   * hot.
+   */
   public async exchangeOnce(signal: AbortSignal): Promise<IExchangeRound> {
     const state = await this._services.engine.readState(signal);
     if (state === undefined || state.weightsVersion === '') {
       return { imported: 0, exported: 0 };
     }
-    if (state.weightsVersion !== this._exportedVersion) {
-      this._exportedVersion = state.weightsVersion;
-      this._exported.clear();
-      this._ownList = '';
+    if (state.weightsVersion !== this._storeVersion) {
+      this._storeVersion = state.weightsVersion;
+      this._hashesInStore.clear();
+      this._lastWrittenList = '';
     }
     const now = this._services.clock.now();
-    if (this._filled !== describeLife(state) || now - this._listedAt >= LISTS_INTERVAL_MS) {
-      this._listed = await this._readLists(state.weightsVersion, signal);
-      this._listedAt = now;
+    if (
+      this._importedEngineKey !== formatEngineKey(state) ||
+      now - this._listsReadAt >= LISTS_READ_INTERVAL_MS
+    ) {
+      this._listedHashes = await this._readLists(state.weightsVersion, signal);
+      this._listsReadAt = now;
     }
-    const hot = this._services.hot.list(MAX_HOT_CHUNKS, now);
-    const imported = await this._fill(state, [...hot, ...this._listed], signal);
-    const exported = await this._exportHot(state, hot, new Set(this._listed), signal);
+    const hot = this._services.hotChunks.list(MAX_HOT_CHUNKS, now);
+    const imported = await this._importMissing(state, [...hot, ...this._listedHashes], signal);
+    const exported = await this._exportHot(state, hot, new Set(this._listedHashes), signal);
     return { imported, exported };
   }
 
@@ -114,29 +125,31 @@
     const lists = await Promise.all(
       [this._target.id, ...peers].map((id) => this._services.store.readList(version, id, signal)),
     );
-    // The first chunks of all lists come before the second ones, as each list begins with the hottest.
-    const longest = Math.max(0, ...lists.map(({ length }) => length));
-    const ranked = Array.from({ length: longest }, (_, rank) =>
+    // The first chunks of all lists come before the second ones, as each list begins with its hottest chunk.
+    const maxLength = Math.max(0, ...lists.map(({ length }) => length));
+    const ranked = Array.from({ length: maxLength }, (_, rank) =>
       lists.flatMap((list) => list.slice(rank, rank + 1)),
     );
     return ranked.flat();
   }
 
-  private async _fill(
+  private async _importMissing(
     state: IEngineState,
-    wanted: readonly string[],
+    candidates: readonly string[],
     signal: AbortSignal,
   ): Promise<number> {
-    const life = describeLife(state);
-    if (this._filled === life) {
+    const engineKey = formatEngineKey(state);
+    if (this._importedEngineKey === engineKey) {
       return 0;
     }
-    const missing = [...new Set(wanted)].filter((hash) => !this._services.hot.isHeld(hash));
+    const missing = [...new Set(candidates)].filter(
+      (hash) => !this._services.hotChunks.isCached(hash),
+    );
     const chosen = missing.slice(0, MAX_HOT_CHUNKS);
     const imported = await this._transferAll(chosen, signal, (hash) =>
       this._importChunk(state, hash, signal),
     );
-    this._filled = life;
+    this._importedEngineKey = engineKey;
     if (imported > 0) {
       this._services.log.info('hot chunks imported', {
         chunks: imported,
@@ -154,42 +167,47 @@
   ): Promise<number> {
     const version = state.weightsVersion;
     const missing = hot.filter(
-      (hash) => this._services.hot.isHeld(hash) && !this._exported.has(hash) && !inStore.has(hash),
+      (hash) =>
+        this._services.hotChunks.isCached(hash) &&
+        !this._hashesInStore.has(hash) &&
+        !inStore.has(hash),
     );
     const exported = await this._transferAll(missing, signal, (hash) =>
       this._exportChunk(state, hash, signal),
     );
-    const listed = hot.filter((hash) => this._exported.has(hash) || inStore.has(hash));
-    if (listed.length > 0 && listed.join() !== this._ownList) {
+    const listed = hot.filter((hash) => this._hashesInStore.has(hash) || inStore.has(hash));
+    if (listed.length > 0 && listed.join() !== this._lastWrittenList) {
       await this._services.store.putList(version, this._target.id, listed, signal);
-      this._ownList = listed.join();
+      this._lastWrittenList = listed.join();
     }
     return exported;
   }
 
-  /** Transfers within the bounds and returns how many chunks were moved. */
+  /**
+   * Transfers chunks within the bandwidth bounds. Returns how many succeeded; failures are only logged.
+   */
   private async _transferAll(
     hashes: readonly string[],
     signal: AbortSignal,
     transfer: (hash: string) => Promise<boolean>,
   ): Promise<number> {
     const queue = [...hashes];
-    let moved = 0;
-    const work = async (): Promise<void> => {
+    let transferredCount = 0;
+    const runWorker = async (): Promise<void> => {
       for (let hash = queue.shift(); hash !== undefined; hash = queue.shift()) {
         if (isAborted(signal)) {
           return;
         }
-        const isMoved = await transfer(hash).catch((error: unknown) => {
-          this._services.log.debug('chunk not moved', { hash, error: describeError(error) });
+        const isTransferred = await transfer(hash).catch((error: unknown) => {
+          this._services.log.debug('chunk not transferred', { hash, error: describeError(error) });
           return false;
         });
-        moved += isMoved ? 1 : 0;
-        await sleep((MAX_IN_PROGRESS * 1_000) / CHUNKS_PER_SECOND, signal);
+        transferredCount += isTransferred ? 1 : 0;
+        await sleep((MAX_CONCURRENT_TRANSFERS * 1_000) / MAX_CHUNKS_PER_SECOND, signal);
       }
     };
-    await Promise.all(Array.from({ length: MAX_IN_PROGRESS }, work));
-    return moved;
+    await Promise.all(Array.from({ length: MAX_CONCURRENT_TRANSFERS }, runWorker));
+    return transferredCount;
   }
 
   private async _importChunk(
@@ -203,12 +221,12 @@
       return false;
     }
     try {
-      await this._checkUnchanged(state, signal);
+      await this._checkEngineUnchanged(state, signal);
       await putBlob(http, this._target.address, formatKvPath(hash), body, signal);
     } finally {
       body.destroy();
     }
-    this._exported.add(hash);
+    this._hashesInStore.add(hash);
     return true;
   }
 
@@ -223,17 +241,20 @@
       return false;
     }
     try {
-      const checked = this._readChecked(body, state, signal);
-      await store.putChunk(state.weightsVersion, hash, checked, signal);
+      const verified = this._readVerified(body, state, signal);
+      await store.putChunk(state.weightsVersion, hash, verified, signal);
     } finally {
       body.destroy();
     }
-    this._exported.add(hash);
+    this._hashesInStore.add(hash);
     return true;
   }
 
-  /** Breaks the upload off before its end when the engine's weights changed during the read. */
-  private async *_readChecked(
+  /**
+   * Throws before the end of the upload, so that it is aborted, when the engine's weights changed
+   * meanwhile.
+   */
+  private async *_readVerified(
     body: Readable,
     state: IEngineState,
     signal: AbortSignal,
@@ -241,22 +262,22 @@
     for await (const part of body as AsyncIterable<Uint8Array>) {
       yield part;
     }
-    await this._checkUnchanged(state, signal);
+    await this._checkEngineUnchanged(state, signal);
   }
 
-  private async _checkUnchanged(state: IEngineState, signal: AbortSignal): Promise<void> {
+  private async _checkEngineUnchanged(state: IEngineState, signal: AbortSignal): Promise<void> {
     const current = await this._services.engine.readState(signal);
     const isUnchanged =
       current?.incarnation === state.incarnation &&
       current.weightsVersion === state.weightsVersion &&
       current.highestFence === state.highestFence;
     if (!isUnchanged) {
-      throw new Error('the engine has restarted or has got a command during the transfer');
+      throw new Error('the engine restarted or received a command during the transfer');
     }
   }
 }
 
-function describeLife(state: IEngineState): string {
+function formatEngineKey(state: IEngineState): string {
   return `${state.incarnation}/${state.weightsVersion}`;
 }
 
--- a/src/sidecar/KvCacheStore.ts
+++ b/src/sidecar/KvCacheStore.ts
@@ -1,18 +1,18 @@
-/** Blobs in the KV-cache store, an HTTP server with PUT and GET by path. */
+/** Client for the KV-cache store, an HTTP server that stores blobs with PUT and returns them with GET. */
 import type { Readable } from 'node:stream';
 import type { Dispatcher } from 'undici';
 import { limitSignal } from '../common/Tasks.js';
 
-/** Time for one chunk, whatever its size. */
+/** Time limit for the transfer of one blob, whatever its size. */
 const TRANSFER_TIMEOUT_MS = 10_000;
 
-/** Largest list of hot chunks. */
+/** Limit of the size of one list of hot chunks. */
 const MAX_LIST_BYTES = 64 * 1024;
 
-/** Content of a blob, read once. */
+/** Content of a blob; can be read only once. */
 export type BlobContent = Readable | AsyncIterable<Uint8Array>;
 
-/** Sends a blob; throws when the server does not accept it. */
+/** Uploads a blob. Throws when the server does not accept it. */
 export async function putBlob(
   http: Dispatcher,
   address: string,
@@ -33,7 +33,9 @@
   }
 }
 
-/** Opens a blob; undefined when the server does not have it. */
+/**
+ * Opens a blob for reading. Returns undefined when the server does not have it, throws on other errors.
+ */
 export async function openBlob(
   http: Dispatcher,
   address: string,
@@ -56,7 +58,10 @@
   throw new Error(`${address} answered ${response.statusCode} to GET ${path}`);
 }
 
-/** Paths of one model's weights version. Chunks of different versions never share a path. */
+/**
+ * Chunks and lists of hot chunks of one model. The path contains the weights version, so versions never
+ * mix.
+ */
 export class KvCacheStore {
   constructor(
     private readonly _address: string,
@@ -82,7 +87,7 @@
     await putBlob(this._http, this._address, path, content, signal);
   }
 
-  /** Hot chunks that a target has listed; empty when it has listed none. */
+  /** Returns the hashes of the hot chunks that a target has listed; empty when it has stored no list. */
   public async readList(version: string, target: string, signal: AbortSignal): Promise<string[]> {
     const path = this._formatPath(version, 'lists', target);
     const body = await openBlob(this._http, this._address, path, signal);
--- a/src/sidecar/LoadSlotClient.ts
+++ b/src/sidecar/LoadSlotClient.ts
@@ -1,14 +1,14 @@
-/** Asks the control leader for load slots of the weight store. */
+/** Client for the load slots, which limit how many engines load weights from the weight store at once. */
 import { Err, Ok, type Result } from '../common/Result.js';
 import type { ControlClient, ControlFailure } from '../control/ControlClient.js';
 import type { LoadSlotResult } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** Covers one failover of the leader (1.5 s) and leaves most of the lease. */
-const SLOT_TIMEOUT_MS = 3_000;
+/** Longer than one failover of the leader (1.5 s), and short enough to leave most of the lease. */
+const SLOT_REQUEST_TIMEOUT_MS = 3_000;
 
-/** Acquires and releases the slot of one target. */
+/** Acquires and releases the load slot of one target. */
 export interface ILoadSlots {
-  /** Also renews the lease of a slot that is held for the same weights. */
+  /** Acquires the slot, or renews its lease when the target holds it for the same weights. */
   acquire(version: string, signal: AbortSignal): Promise<Result<LoadSlotResult, ControlFailure>>;
   release(version: string, signal: AbortSignal): Promise<Result<void, ControlFailure>>;
 }
@@ -19,7 +19,9 @@
   readonly sidecarIncarnation: Uint8Array;
 }
 
-/** Load slots over the control client. A repeated request keeps its slot, so it may be resent. */
+/**
+ * Sends load slot commands to the control leader. A repeated request keeps its slot, so it is idempotent.
+ */
 export class LoadSlotClient implements ILoadSlots {
   constructor(
     private readonly _control: ControlClient,
@@ -49,7 +51,7 @@
     const executed = await this._control.execute(
       { case: 'loadSlot', value: { ...this._holder, version, release } },
       signal,
-      { isIdempotent: true, timeoutMs: SLOT_TIMEOUT_MS },
+      { isIdempotent: true, timeoutMs: SLOT_REQUEST_TIMEOUT_MS },
     );
     if (executed.err) {
       return Err(executed.val);
@@ -59,7 +61,8 @@
       ? Ok(body.value)
       : Err({
           kind: 'refused',
-          message: 'Not run: the answer is none to a load slot. Check that all versions match.',
+          message:
+            'Not run: the leader did not answer with a load slot result. Check that all versions match.',
         });
   }
 }
--- a/src/sidecar/PromptQueue.test.ts
+++ b/src/sidecar/PromptQueue.test.ts
@@ -8,8 +8,8 @@
   return create(TicketSchema, { requestId, promptTokens, prefixChain });
 }
 
-/** Queue that has learned a speed of 10 tokens per millisecond. */
-function createTrained(cached: ReadonlySet<string> = new Set<string>()): PromptQueue {
+/** Queue with an estimated prefill speed of 10 tokens per millisecond. */
+function createTrainedQueue(cached: ReadonlySet<string> = new Set<string>()): PromptQueue {
   const queue = new PromptQueue((hash) => cached.has(hash));
   queue.begin(createTicket('train', 4_000), 0);
   queue.end('train', true, 400);
@@ -17,14 +17,14 @@
 }
 
 describe('PromptQueue', () => {
-  it('expects no wait before it knows the speed, so that no dispatch is refused by a guess', () => {
+  it('estimates no wait while the speed is unknown, so that no dispatch is refused by a guess', () => {
     const queue = new PromptQueue(() => false);
     queue.begin(createTicket('a', 100_000), 0);
     expect(queue.estimate(createTicket('b', 8_000), 1)).toMatchObject({ waitMs: 0, ttftMs: 0 });
   });
 
-  it('adds up the prompts of all entries and counts the time that has passed', () => {
-    const queue = createTrained();
+  it('adds up the prompts of all entries and subtracts the elapsed time', () => {
+    const queue = createTrainedQueue();
     queue.begin(createTicket('a', 10_000), 1_000);
     queue.begin(createTicket('b', 5_000), 1_100);
     expect(queue.estimateWaitMs(1_200)).toBeCloseTo(1_300);
@@ -32,16 +32,16 @@
     expect(queue.estimateWaitMs(2_000)).toBeCloseTo(500);
   });
 
-  it('takes a prompt of the same prefix that is being computed for cached', () => {
-    const queue = createTrained();
+  it('counts the chunks of a prefix that is being computed as cached', () => {
+    const queue = createTrainedQueue();
     queue.begin(createTicket('a', 4_000, [1, 2]), 1_000);
     const estimate = queue.estimate(createTicket('b', 5_000, [1, 2]), 1_000);
     expect(estimate.cachedTokens).toBe(4_000);
     expect(estimate.ttftMs).toBeCloseTo(500);
   });
 
-  it('does not learn from prompts that waited for others', () => {
-    const queue = createTrained();
+  it('does not sample the speed from prompts that waited for others', () => {
+    const queue = createTrainedQueue();
     queue.begin(createTicket('a', 10_000), 1_000);
     queue.begin(createTicket('b', 1_000), 1_000);
     queue.end('a', true, 2_000);
@@ -50,8 +50,8 @@
     expect(queue.estimateWaitMs(3_000)).toBeCloseTo(1_000);
   });
 
-  it('forgets a dispatch that ended without an answer', () => {
-    const queue = createTrained();
+  it('removes a dispatch that ended without an answer', () => {
+    const queue = createTrainedQueue();
     queue.begin(createTicket('a', 10_000, [1]), 1_000);
     queue.end('a', false, 1_010);
     expect(queue.estimateWaitMs(1_010)).toBe(0);
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -1,4 +1,4 @@
-/** Sidecar role: announces the target and guards it. */
+/** Sidecar role: announces one target to the entries and handles the dispatches to it. */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -23,24 +23,27 @@
 import type { ISidecarRole } from '../settings/Types.js';
 import { Announcer } from './Announcer.js';
 import { ClaimTable } from './ClaimTable.js';
-import { Dispatches } from './Dispatches.js';
-import { EngineOrders } from './EngineOrders.js';
+import { DispatchHandler } from './DispatchHandler.js';
+import { EngineClient } from './EngineClient.js';
 import type { IGateState } from './Gate.js';
 import { KvCacheExchange } from './KvCacheExchange.js';
 import { KvCacheStore } from './KvCacheStore.js';
 import { LoadSlotClient } from './LoadSlotClient.js';
 import { PromptQueue } from './PromptQueue.js';
 import { TargetWatcher } from './TargetWatcher.js';
-import { TargetWork } from './TargetWork.js';
+import { TargetAdmission } from './TargetAdmission.js';
 import { UsedChunks } from './UsedChunks.js';
 import { WeightsReconciler } from './WeightsReconciler.js';
 
-const DRAIN_POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** Entries learn of the draining target within one announcement. */
-const DRAIN_NOTICE_MS = 700;
+/** Covers one announcement to each entry, after which the entries know that the target is draining. */
+const DRAIN_NOTICE_DELAY_MS = 700;
 
-/** Everything beside one target. */
+/**
+ * Creates and connects the parts of the sidecar role: watcher, announcer, dispatch handler and, beside an
+ * engine, prompt queue, weights reconciler and KV-cache exchange.
+ */
 export class Sidecar {
   private readonly _incarnation = generateIdentifier();
   private readonly _http = new Agent({ headersTimeout: 0, bodyTimeout: 0 });
@@ -49,9 +52,9 @@
   private readonly _watcher: TargetWatcher;
   private readonly _prompts: PromptQueue | undefined;
   private readonly _announcer: Announcer;
-  private readonly _dispatches: Dispatches;
-  private readonly _weights: WeightsReconciler | undefined;
-  private readonly _exchange: KvCacheExchange | undefined;
+  private readonly _dispatchHandler: DispatchHandler;
+  private readonly _weightsReconciler: WeightsReconciler | undefined;
+  private readonly _kvCacheExchange: KvCacheExchange | undefined;
 
   constructor(
     private readonly _settings: ISidecarRole,
@@ -77,7 +80,7 @@
       clock,
       _log,
     );
-    this._dispatches = new Dispatches(
+    this._dispatchHandler = new DispatchHandler(
       {
         targetAddress: target.address,
         getGateState: () => this._getGateState(),
@@ -93,17 +96,17 @@
       this._http,
       _log,
     );
-    const work = new TargetWork(
+    const admission = new TargetAdmission(
       target,
       announceTo,
       this._watcher,
       this._announcer,
-      this._dispatches,
+      this._dispatchHandler,
       clients,
       _log,
     );
-    this._weights = this._createReconciler(feed, control, work, clock);
-    this._exchange = this._createExchange(work, clock);
+    this._weightsReconciler = this._createReconciler(feed, control, admission, clock);
+    this._kvCacheExchange = this._createExchange(admission, clock);
     this._watcher.onChange((state) => {
       this._log.info('target state changed', {
         target: target.id,
@@ -113,23 +116,23 @@
       });
       this._usedChunks.clear();
       this._prompts?.clear();
-      this._announcer.notify();
+      this._announcer.announceNow();
     });
   }
 
-  /** Watches and announces until the signal is aborted. */
+  /** Runs all tasks of the sidecar until the signal is aborted. */
   public async run(signal: AbortSignal): Promise<void> {
     await Promise.all([
       this._watcher.run(signal),
       this._announcer.run(signal),
-      this._weights?.run(signal),
-      this._exchange?.run(signal),
+      this._weightsReconciler?.run(signal),
+      this._kvCacheExchange?.run(signal),
     ]);
   }
 
   /** Handles a dispatch from an entry. */
   public async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    await this._dispatches.handle(request, response);
+    await this._dispatchHandler.handle(request, response);
   }
 
   public registerRpc(router: ConnectRouter): void {
@@ -139,13 +142,17 @@
     });
   }
 
-  /** Takes no new work and waits for what is running. */
+  /** Refuses new requests and waits until the running ones have ended, at most for `timeoutMs`. */
   public async drain(timeoutMs: number, signal: AbortSignal): Promise<void> {
     this._startDraining();
-    const giveUpAt = performance.now() + timeoutMs;
-    await sleep(DRAIN_NOTICE_MS, signal);
-    while (this._dispatches.open > 0 && performance.now() < giveUpAt && !isAborted(signal)) {
-      await sleep(DRAIN_POLL_MS, signal);
+    const deadline = performance.now() + timeoutMs;
+    await sleep(DRAIN_NOTICE_DELAY_MS, signal);
+    while (
+      this._dispatchHandler.openCount > 0 &&
+      performance.now() < deadline &&
+      !isAborted(signal)
+    ) {
+      await sleep(DRAIN_POLL_INTERVAL_MS, signal);
     }
   }
 
@@ -153,11 +160,11 @@
     await this._http.destroy();
   }
 
-  /** Only engines have weights. */
+  /** Returns undefined when the target has no model: only engines have weights. */
   private _createReconciler(
     feed: IFeed,
     control: ControlClient,
-    work: TargetWork,
+    admission: TargetAdmission,
     clock: IClock,
   ): WeightsReconciler | undefined {
     const { target } = this._settings;
@@ -169,25 +176,26 @@
     return new WeightsReconciler(model, {
       feed,
       slots: new LoadSlotClient(control, holder),
-      engine: new EngineOrders(address, healthPath),
-      work,
+      engine: new EngineClient(address, healthPath),
+      admission,
       clock,
       log: this._log,
     });
   }
 
-  private _createExchange(work: TargetWork, clock: IClock): KvCacheExchange | undefined {
+  /** Returns undefined when the target has no model or no KV-cache store is configured. */
+  private _createExchange(admission: TargetAdmission, clock: IClock): KvCacheExchange | undefined {
     const { target, kvCacheStore } = this._settings;
     if (target.model === undefined || kvCacheStore === undefined) {
       return undefined;
     }
     const { id, model, address, healthPath } = target;
     return new KvCacheExchange(
-      { id, address, listPeers: (signal) => work.listPeers(signal) },
+      { id, address, listPeers: (signal) => admission.listPeers(signal) },
       {
         store: new KvCacheStore(kvCacheStore, model, this._http),
-        engine: new EngineOrders(address, healthPath),
-        hot: this._watcher.hot,
+        engine: new EngineClient(address, healthPath),
+        hotChunks: this._watcher.hotChunks,
         http: this._http,
         clock,
         log: this._log,
@@ -197,7 +205,7 @@
 
   private _startDraining(): DrainResponse {
     this._announcer.startDraining();
-    return create(DrainResponseSchema, { openRequests: this._dispatches.open });
+    return create(DrainResponseSchema, { openRequests: this._dispatchHandler.openCount });
   }
 
   private _queryClaim(request: QueryClaimRequest): QueryClaimResponse {
--- a/src/sidecar/TargetWatcher.ts
+++ b/src/sidecar/TargetWatcher.ts
@@ -1,4 +1,4 @@
-/** Task that watches the target's health, incarnation, weights, load and cache events. */
+/** Task that polls the target's health, incarnation, weights, load and cache events. */
 import { create } from '@bufbuild/protobuf';
 import type { Dispatcher } from 'undici';
 import { Emitter } from '../common/Lifecycle.js';
@@ -14,7 +14,7 @@
 const POLL_INTERVAL_MS = 250;
 const POLL_TIMEOUT_MS = 500;
 
-/** Failed polls in a row after which the target counts as down. */
+/** Consecutive failed polls after which the target counts as down. */
 const MAX_FAILED_POLLS = 3;
 
 interface IHealthReply {
@@ -35,10 +35,13 @@
   readonly events: readonly ICacheEvent[];
 }
 
-/** Polls the target and keeps its last known state. */
+/**
+ * Polls the target, holds its last state and, for an engine, the index of its cached chunks. Fires
+ * `onChange` when the state changes.
+ */
 export class TargetWatcher implements ITargetWatcher {
   private readonly _changeEmitter = new Emitter<ITargetState>();
-  private readonly _cache = new CacheIndex();
+  private readonly _cacheIndex = new CacheIndex();
   private _failedPolls = 0;
   private _state: ITargetState = {
     isHealthy: false,
@@ -48,7 +51,7 @@
   };
 
   /** Chunks of the current weights that the engine uses often. */
-  public readonly hot = new HotChunks();
+  public readonly hotChunks = new HotChunks();
 
   /** Fires when health, incarnation or weights change. */
   public readonly onChange = this._changeEmitter.onFire;
@@ -65,11 +68,11 @@
   }
 
   public hasChunk(hash: string): boolean {
-    return this._cache.has(hash);
+    return this._cacheIndex.has(hash);
   }
 
   public takeEvicted(limit: number): Uint8Array[] {
-    return this._cache.takeEvicted(limit);
+    return this._cacheIndex.takeEvicted(limit);
   }
 
   /** Polls until the signal is aborted. */
@@ -89,7 +92,7 @@
     this._failedPolls = 0;
     const incarnation = health.incarnation ?? '';
     const weightsVersion = health.weights_version ?? '';
-    this._forgetChunks(incarnation, weightsVersion);
+    this._clearOutdatedChunks(incarnation, weightsVersion);
     this._update({
       ...this._state,
       isHealthy: true,
@@ -113,32 +116,34 @@
         totalBlocks: load.total_blocks,
       }),
     };
-    const path = `/events?after=${this._cache.lastSeq}`;
+    const path = `/events?after=${this._cacheIndex.lastSeq}`;
     const reply = (await this._get(path, signal)) as IEventsReply;
     if (reply.incarnation === this._state.incarnation) {
-      this.hot.apply(this._cache.apply(reply.events), this._clock.now());
+      this.hotChunks.apply(this._cacheIndex.apply(reply.events), this._clock.now());
     }
   }
 
-  /** Chunks of a dead engine or of other weights serve no request. */
-  private _forgetChunks(incarnation: string, weightsVersion: string): void {
+  /**
+   * Clears the record of chunks of an earlier incarnation or of other weights: no request can use them.
+   */
+  private _clearOutdatedChunks(incarnation: string, weightsVersion: string): void {
     if (incarnation !== this._state.incarnation) {
-      this._cache.reset();
-      this.hot.release();
+      this._cacheIndex.reset();
+      this.hotChunks.markAllEvicted();
     }
     if (weightsVersion !== this._state.weightsVersion) {
-      this._cache.clear();
-      this.hot.clear();
+      this._cacheIndex.clear();
+      this.hotChunks.clear();
     }
   }
 
   private async _get(path: string, signal: AbortSignal): Promise<unknown> {
-    return runWithLimit(signal, POLL_TIMEOUT_MS, async (limited) => {
+    return runWithLimit(signal, POLL_TIMEOUT_MS, async (limitedSignal) => {
       const response = await this._http.request({
         origin: `http://${this._target.address}`,
         path,
         method: 'GET',
-        signal: limited,
+        signal: limitedSignal,
       });
       if (response.statusCode !== 200) {
         await response.body.dump();
--- a/src/sidecar/Types.ts
+++ b/src/sidecar/Types.ts
@@ -1,20 +1,22 @@
-/** Interfaces inside the sidecar. */
+/** Interfaces that the modules of the sidecar share. */
 import type { TargetLoad } from '../gen/redwingwharf/v1/control_pb.js';
 
-/** What the sidecar knows of its target. */
+/** Last known state of the target. */
 export interface ITargetState {
   readonly isHealthy: boolean;
-  /** Changes with each life of the target. */
+  /** Identifies one process start of the target: a restart begins a new incarnation. */
   readonly incarnation: string;
   readonly weightsVersion: string;
   readonly load: TargetLoad;
 }
 
-/** Watches the target beside this sidecar. */
+/** Polls the target beside this sidecar and holds its last state. */
 export interface ITargetWatcher {
   readonly state: ITargetState;
-  /** True when the engine holds the chunk, as far as its events told. */
+  /** True when the engine's KV cache holds the chunk, according to the cache events received so far. */
   hasChunk(hash: string): boolean;
-  /** Prefix hashes that the engine dropped since the last call, at most `limit`. */
+  /**
+   * Removes and returns at most `limit` prefix hashes that the engine evicted and no call returned yet.
+   */
   takeEvicted(limit: number): Uint8Array[];
 }
--- a/src/sidecar/UsedChunks.test.ts
+++ b/src/sidecar/UsedChunks.test.ts
@@ -10,14 +10,14 @@
 }
 
 describe('UsedChunks', () => {
-  it('names a chunk only after a second use, so that announcements are not filled with cold ones', () => {
+  it('lists a chunk only after its second use, so that cold chunks do not fill the announcements', () => {
     const used = new UsedChunks();
     used.record([createHash(1), createHash(2)], 10);
     used.record([createHash(1)], 20);
     expect(listBytes(used.listSince(0, 8))).toEqual([1]);
   });
 
-  it('names what was used since the last announcement, the latest within the limit', () => {
+  it('lists the chunks used since the last announcement, the most recent ones within the limit', () => {
     const used = new UsedChunks();
     for (const now of [1, 2]) {
       used.record([createHash(1), createHash(2), createHash(3)], now);
@@ -27,14 +27,14 @@
     expect(listBytes(used.listSince(0, 2))).toEqual([3, 2]);
   });
 
-  it('does not count uses that lie too far apart for the engine to have kept the chunk', () => {
+  it('does not count two uses so far apart that the engine has evicted the chunk in between', () => {
     const used = new UsedChunks();
     used.record([createHash(1)], 0);
     used.record([createHash(1)], 20_000);
     expect(used.listSince(0, 8)).toEqual([]);
   });
 
-  it('keeps a bounded number of chunks', () => {
+  it('stores a bounded number of chunks', () => {
     const used = new UsedChunks();
     for (let index = 0; index < 6_000; index++) {
       const hash = new Uint8Array(16);
--- a/src/sidecar/WeightsFixtures.ts
+++ b/src/sidecar/WeightsFixtures.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for tests of the weights reconciliation: control, engine, feed and target. */
+/** Fakes for tests of the weights reconciliation: control, engine, feed and sidecar. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import type { IClock } from '../common/Clock.js';
 import { SILENT_LOG } from '../common/Log.js';
@@ -15,13 +15,13 @@
 import { LoadSlots } from '../state/LoadSlots.js';
 import {
   explainMismatch,
-  type IEngineOrders,
+  type IEngineClient,
   type IEngineState,
-  type ILoadOrder,
-  type OrderOutcome,
-} from './EngineOrders.js';
+  type ILoadCommand,
+  type LoadOutcome,
+} from './EngineClient.js';
 import type { ILoadSlots } from './LoadSlotClient.js';
-import type { IPeerCount, ITargetWork } from './TargetWork.js';
+import type { IPeerCount, ITargetAdmission } from './TargetAdmission.js';
 import {
   WEIGHTS_TIMINGS,
   WeightsReconciler,
@@ -29,12 +29,12 @@
   type IWeightsTimings,
 } from './WeightsReconciler.js';
 
-/** Control state of one cluster with the real load slots. */
+/** Control leader of one cluster; executes load slot commands on the real `LoadSlots`. */
 export class TestControl {
-  public commands = 0;
+  public commandCount = 0;
   public index = 100;
   public isReachable = true;
-  public desired = 'w1';
+  public desiredVersion = 'w1';
   private readonly _slots = new LoadSlots();
 
   constructor(private readonly _clock: IClock) {}
@@ -45,7 +45,7 @@
     version: string,
     release: boolean,
   ): Result<LoadSlotResult, ControlFailure> {
-    this.commands += 1;
+    this.commandCount += 1;
     if (!this.isReachable) {
       return Err({ kind: 'unreachable', message: 'no leader' });
     }
@@ -60,12 +60,12 @@
   }
 }
 
-/** Configuration copy of one sidecar process. */
+/** Feed copy of one sidecar process, which is updated only by `sync`. */
 export class TestFeed implements IFeed {
   public readonly version = 1;
   public readonly onChange = (): { dispose: () => void } => ({ dispose: () => undefined });
   public confirmedAt: number | undefined;
-  public desired = 'w1';
+  public desiredVersion = 'w1';
   public revision = 100;
 
   constructor(
@@ -75,10 +75,10 @@
     this.sync();
   }
 
-  /** Copies the state of control. */
+  /** Copies the current state from the control fake. */
   public sync(): void {
     this.confirmedAt = this._clock.now();
-    this.desired = this._control.desired;
+    this.desiredVersion = this._control.desiredVersion;
     this.revision = this._control.index;
   }
 
@@ -87,7 +87,7 @@
   }
 
   public getItem(key: string): Item {
-    const value = create(DesiredWeightsSchema, { model: 'm', version: this.desired });
+    const value = create(DesiredWeightsSchema, { model: 'm', version: this.desiredVersion });
     return create(ItemSchema, { key, value: toBinary(DesiredWeightsSchema, value) });
   }
 
@@ -96,17 +96,17 @@
   }
 }
 
-/** Engine that carries commands out when a test lets it. */
+/** Engine whose loads end when the promise passed by the test resolves. */
 export class TestEngine {
-  public static loading = 0;
-  public static mostLoading = 0;
+  public static loadingCount = 0;
+  public static maxLoadingCount = 0;
   public incarnation = 'engine-a';
   public weightsVersion = 'w1';
   public highestFence = 0n;
-  /** Commands that were carried out. */
+  /** Commands that were executed. */
   public readonly loaded: { readonly version: string; readonly fence: bigint }[] = [];
-  /** Commands that arrived. */
-  public arrived = 0;
+  /** Number of commands that arrived, including refused ones. */
+  public arrivedCount = 0;
 
   constructor(
     public readonly mode: 'strict' | 'ignore' = 'strict',
@@ -114,23 +114,23 @@
   ) {}
 
   public describe(): IEngineState {
-    // An engine that ignores tokens doesn't report them either.
+    // An engine that ignores fencing tokens does not report them either.
     const highestFence = this.mode === 'strict' ? this.highestFence : undefined;
     const { incarnation, weightsVersion } = this;
     return { incarnation, weightsVersion, highestFence };
   }
 
-  public async load(version: string, fence: bigint): Promise<OrderOutcome> {
-    this.arrived += 1;
+  public async load(version: string, fence: bigint): Promise<LoadOutcome> {
+    this.arrivedCount += 1;
     if (this.mode === 'strict' && fence < this.highestFence) {
       return { kind: 'refused', highestFence: this.highestFence };
     }
     this.highestFence = fence > this.highestFence ? fence : this.highestFence;
     const { incarnation } = this;
-    TestEngine.loading += 1;
-    TestEngine.mostLoading = Math.max(TestEngine.mostLoading, TestEngine.loading);
+    TestEngine.loadingCount += 1;
+    TestEngine.maxLoadingCount = Math.max(TestEngine.maxLoadingCount, TestEngine.loadingCount);
     await this._wait();
-    TestEngine.loading -= 1;
+    TestEngine.loadingCount -= 1;
     if (this.incarnation !== incarnation) {
       return { kind: 'unknown', reason: 'connection reset' };
     }
@@ -140,20 +140,23 @@
   }
 }
 
-/** One sidecar process beside an engine. */
-export class TestSidecar implements ILoadSlots, IEngineOrders, ITargetWork {
+/** One sidecar process with a real reconciler and fakes for its dependencies. */
+export class TestSidecar implements ILoadSlots, IEngineClient, ITargetAdmission {
   public readonly feed: TestFeed;
   public readonly reconciler: WeightsReconciler;
   public readonly isHealthy = true;
-  public isLeaving = false;
-  public isHeld = false;
-  public open = 0;
-  public getPeers: () => IPeerCount = () => ({ known: 0, serving: 0 });
-  /** Waits of a frozen process: before the answer to a slot request and before the last check. */
+  public isDrainRequested = false;
+  public isPaused = false;
+  public openCount = 0;
+  public getPeerCount: () => IPeerCount = () => ({ total: 0, serving: 0 });
+  /**
+   * Simulate a frozen process: `slotWait` delays the answer to a slot request, `checkWait` the last
+   * check.
+   */
   public slotWait: Promise<void> = Promise.resolve();
   public checkWait: Promise<void> = Promise.resolve();
-  /** What was open or held when a command was written. */
-  public readonly sentWhile: { readonly isHeld: boolean; readonly open: number }[] = [];
+  /** State of the admission at each command that was sent. */
+  public readonly statesAtSend: { readonly isPaused: boolean; readonly openCount: number }[] = [];
 
   constructor(
     private readonly _id: string,
@@ -168,7 +171,7 @@
       feed: this.feed,
       slots: this,
       engine: this,
-      work: this,
+      admission: this,
       clock,
       log: SILENT_LOG,
     };
@@ -194,36 +197,36 @@
     return Promise.resolve(this.engine.describe());
   }
 
-  public async load(
-    order: ILoadOrder,
+  public async loadWeights(
+    command: ILoadCommand,
     maySend: () => boolean,
     signal: AbortSignal,
-  ): Promise<OrderOutcome> {
-    const mismatch = explainMismatch(this.engine.describe(), order);
+  ): Promise<LoadOutcome> {
+    const mismatch = explainMismatch(this.engine.describe(), command);
     await this.checkWait;
     if (mismatch !== undefined || !maySend()) {
       return { kind: 'not_sent', reason: mismatch ?? 'not allowed' };
     }
-    this.sentWhile.push({ isHeld: this.isHeld, open: this.open });
-    const aborted = new Promise<OrderOutcome>((resolve) => {
+    this.statesAtSend.push({ isPaused: this.isPaused, openCount: this.openCount });
+    const aborted = new Promise<LoadOutcome>((resolve) => {
       signal.addEventListener('abort', () => {
         resolve({ kind: 'unknown', reason: 'aborted' });
       });
     });
-    return Promise.race([this.engine.load(order.version, order.fence), aborted]);
+    return Promise.race([this.engine.load(command.version, command.fence), aborted]);
   }
 
-  public hold(): void {
-    this.isHeld = true;
+  public pauseAdmission(): void {
+    this.isPaused = true;
   }
 
-  public resume(): Promise<void> {
-    this.isHeld = false;
+  public resumeAdmission(): Promise<void> {
+    this.isPaused = false;
     return Promise.resolve();
   }
 
   public countPeers(): Promise<IPeerCount> {
-    return Promise.resolve(this.getPeers());
+    return Promise.resolve(this.getPeerCount());
   }
 
   private _execute(version: string, release: boolean): Result<LoadSlotResult, ControlFailure> {
@@ -231,7 +234,7 @@
   }
 }
 
-/** A promise that a test resolves. */
+/** A promise that a test resolves by calling `open`. */
 export class TestGate {
   public open: () => void = () => undefined;
   public readonly opened = new Promise<void>((resolve) => {
--- a/src/sidecar/WeightsReconciler.test.ts
+++ b/src/sidecar/WeightsReconciler.test.ts
@@ -8,10 +8,15 @@
 
 const never = new AbortController().signal;
 
-/** A tenth of the real times, so that a test of many loads takes a second. */
-const FAST = { pollMs: 20, firstPauseMs: 25, longestPauseMs: 500, leaseMs: 5_000 };
+/** A fraction of the production timings, so that a test with many loads takes a second. */
+const FAST = {
+  pollIntervalMs: 20,
+  initialBackoffMs: 25,
+  maxBackoffMs: 500,
+  leaseDurationMs: 5_000,
+};
 
-/** Waits until a condition holds; the test's own time limit ends a wait in vain. */
+/** Waits until a condition holds; the time limit of the test ends a wait that never succeeds. */
 async function waitFor(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await delay(2);
@@ -41,14 +46,14 @@
   beforeEach(() => {
     clock = new ManualClock(1_000);
     control = new TestControl(clock);
-    TestEngine.loading = 0;
-    TestEngine.mostLoading = 0;
+    TestEngine.loadingCount = 0;
+    TestEngine.maxLoadingCount = 0;
   });
 
-  it('loads a published and a rolled back version once each, with rising tokens', async () => {
+  it('loads a published version and a rolled back one once each, with increasing fencing tokens', async () => {
     const sidecar = createSidecar(new TestEngine());
     for (const version of ['w2', 'w1']) {
-      control.desired = version;
+      control.desiredVersion = version;
       sidecar.feed.sync();
       await sidecar.reconciler.reconcileOnce(never);
       await sidecar.reconciler.reconcileOnce(never);
@@ -56,85 +61,85 @@
     const [first, second] = sidecar.engine.loaded;
     expect(listVersions(sidecar.engine)).toEqual(['w2', 'w1']);
     expect(second?.fence).toBeGreaterThan(first?.fence ?? 0n);
-    expect(control.commands).toBe(4);
+    expect(control.commandCount).toBe(4);
   });
 
-  it('cuts no request: it loads after open requests have ended and takes no new ones', async () => {
+  it('interrupts no request: refuses new ones and loads after the open ones have ended', async () => {
     const sidecar = createSidecar(new TestEngine());
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
-    sidecar.open = 1;
-    const done = sidecar.reconciler.reconcileOnce(never);
-    await waitFor(() => sidecar.isHeld);
-    expect(sidecar.engine.arrived).toBe(0);
-    sidecar.open = 0;
-    await done;
-    expect(sidecar.sentWhile).toEqual([{ isHeld: true, open: 0 }]);
-    expect(sidecar.isHeld).toBe(false);
+    sidecar.openCount = 1;
+    const reconciled = sidecar.reconciler.reconcileOnce(never);
+    await waitFor(() => sidecar.isPaused);
+    expect(sidecar.engine.arrivedCount).toBe(0);
+    sidecar.openCount = 0;
+    await reconciled;
+    expect(sidecar.statesAtSend).toEqual([{ isPaused: true, openCount: 0 }]);
+    expect(sidecar.isPaused).toBe(false);
   });
 
-  it('puts a load off that would leave the model without an engine, but not for ever', async () => {
+  it('postpones a load that would leave the model without an engine, for a limited time', async () => {
     const sidecar = createSidecar(new TestEngine());
-    control.desired = 'w2';
-    sidecar.getPeers = () => ({ known: 1, serving: 0 });
+    control.desiredVersion = 'w2';
+    sidecar.getPeerCount = () => ({ total: 1, serving: 0 });
     sidecar.feed.sync();
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.engine.arrived).toBe(0);
-    clock.advance(WEIGHTS_TIMINGS.peerWaitMs);
+    expect(sidecar.engine.arrivedCount).toBe(0);
+    clock.advance(WEIGHTS_TIMINGS.peerTimeoutMs);
     sidecar.feed.sync();
     await sidecar.reconciler.reconcileOnce(never);
     expect(listVersions(sidecar.engine)).toEqual(['w2']);
   });
 
-  it('gives way when another engine has begun in the same moment', async () => {
+  it('postpones the load when another engine has stopped serving at the same moment', async () => {
     const sidecar = createSidecar(new TestEngine());
-    control.desired = 'w2';
-    sidecar.getPeers = () => ({ known: 1, serving: sidecar.isHeld ? 0 : 1 });
+    control.desiredVersion = 'w2';
+    sidecar.getPeerCount = () => ({ total: 1, serving: sidecar.isPaused ? 0 : 1 });
     sidecar.feed.sync();
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.engine.arrived).toBe(0);
-    expect(sidecar.isHeld).toBe(false);
+    expect(sidecar.engine.arrivedCount).toBe(0);
+    expect(sidecar.isPaused).toBe(false);
   });
 
-  it('sends nothing by a stale copy, so that an isolated sidecar loads no outdated weights', async () => {
+  it('sends nothing with a stale feed copy, so that an isolated sidecar loads no outdated weights', async () => {
     const sidecar = createSidecar(new TestEngine());
-    sidecar.feed.desired = 'w0';
+    sidecar.feed.desiredVersion = 'w0';
     clock.advance(FRESHNESS_LIMIT_MS);
     await sidecar.reconciler.reconcileOnce(never);
-    expect(control.commands).toBe(0);
+    expect(control.commandCount).toBe(0);
   });
 
-  it('sends nothing while there is no leader and goes on with the next one', async () => {
+  it('sends nothing while there is no leader and continues with the next one', async () => {
     const sidecar = createSidecar(new TestEngine());
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
     control.isReachable = false;
     await sidecar.reconciler.reconcileOnce(never);
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.engine.arrived).toBe(0);
+    expect(sidecar.engine.arrivedCount).toBe(0);
     control.isReachable = true;
     await sidecar.reconciler.reconcileOnce(never);
     expect(listVersions(sidecar.engine)).toEqual(['w2']);
   });
 
-  it('uses no token that the engine has overtaken', async () => {
+  it('uses no fencing token below the highest one that the engine has received', async () => {
     const sidecar = createSidecar(new TestEngine());
     sidecar.engine.highestFence = 5_000n;
-    clock.advance(WEIGHTS_TIMINGS.startWaitMs);
-    control.desired = 'w2';
+    clock.advance(WEIGHTS_TIMINGS.startupDelayMs);
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.engine.arrived).toBe(0);
+    expect(sidecar.engine.arrivedCount).toBe(0);
   });
 
-  it('uses no token twice when the release of the slot was lost', async () => {
+  it('uses no fencing token twice when the release of the slot was lost', async () => {
     const sidecar = createSidecar(
       new TestEngine('strict', () => {
         control.isReachable = false;
         return Promise.resolve();
       }),
     );
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
     await sidecar.reconciler.reconcileOnce(never);
     control.isReachable = true;
@@ -147,46 +152,46 @@
   });
 
   it.each(['strict', 'ignore'] as const)(
-    'a restarted sidecar does not repeat the load that its engine (%s) still carries out',
+    'a restarted sidecar does not repeat the load that its engine (%s) is still executing',
     async (mode) => {
       const gate = new TestGate();
       const engine = new TestEngine(mode, () => gate.opened);
       const before = createSidecar(engine, 1);
-      clock.advance(WEIGHTS_TIMINGS.startWaitMs);
-      control.desired = 'w2';
+      clock.advance(WEIGHTS_TIMINGS.startupDelayMs);
+      control.desiredVersion = 'w2';
       before.feed.sync();
       const killed = new AbortController();
-      const ended = before.reconciler.reconcileOnce(killed.signal);
-      await waitFor(() => engine.arrived === 1);
+      const reconciled = before.reconciler.reconcileOnce(killed.signal);
+      await waitFor(() => engine.arrivedCount === 1);
       killed.abort();
-      await ended;
+      await reconciled;
       const after = createSidecar(engine, 2);
       await after.reconciler.reconcileOnce(never);
       gate.open();
       await waitFor(() => engine.loaded.length === 1);
       await after.reconciler.reconcileOnce(never);
-      expect(engine.arrived).toBe(1);
+      expect(engine.arrivedCount).toBe(1);
     },
   );
 
-  it('an engine that restarts during a load and returns with old weights gets a new command', async () => {
+  it('sends a new command when the engine restarts during a load and comes up with old weights', async () => {
     const gate = new TestGate();
     const engine = new TestEngine('strict', () => gate.opened);
     const sidecar = createSidecar(engine);
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
-    const ended = sidecar.reconciler.reconcileOnce(never);
-    await waitFor(() => engine.arrived === 1);
+    const reconciled = sidecar.reconciler.reconcileOnce(never);
+    await waitFor(() => engine.arrivedCount === 1);
     engine.incarnation = 'engine-b';
     engine.highestFence = 0n;
     gate.open();
-    await ended;
-    expect(sidecar.isHeld).toBe(true);
+    await reconciled;
+    expect(sidecar.isPaused).toBe(true);
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.isHeld).toBe(false);
+    expect(sidecar.isPaused).toBe(false);
     await sidecar.reconciler.reconcileOnce(never);
     expect(listVersions(engine)).toEqual(['w2']);
-    expect(engine.arrived).toBe(2);
+    expect(engine.arrivedCount).toBe(2);
   });
 
   it.each([
@@ -195,27 +200,27 @@
     ['ignore', 'waits for a slot'],
     ['ignore', 'has read the engine'],
   ] as const)(
-    'an old process (engine %s) that was frozen while it %s loads no older weights',
+    'a sidecar process (engine %s) that was frozen while it %s loads no outdated weights afterwards',
     async (mode, stage) => {
       const engine = new TestEngine(mode);
       const frozen = createSidecar(engine, 1);
-      clock.advance(WEIGHTS_TIMINGS.startWaitMs);
-      control.desired = 'w2';
+      clock.advance(WEIGHTS_TIMINGS.startupDelayMs);
+      control.desiredVersion = 'w2';
       frozen.feed.sync();
       const gate = new TestGate();
       frozen[stage === 'waits for a slot' ? 'slotWait' : 'checkWait'] = gate.opened;
-      const woken = frozen.reconciler.reconcileOnce(never);
+      const reconciled = frozen.reconciler.reconcileOnce(never);
       await delay(5);
       clock.advance(FRESHNESS_LIMIT_MS);
-      control.desired = 'w3';
+      control.desiredVersion = 'w3';
       const successor = createSidecar(engine, 2);
-      // Within 3 s the slot of the frozen process is still leased: only its stale copy stops it.
-      clock.advance(mode === 'ignore' ? WEIGHTS_TIMINGS.startWaitMs : 0);
+      // After 3 s the frozen process still has the slot lease: only its stale feed copy stops it.
+      clock.advance(mode === 'ignore' ? WEIGHTS_TIMINGS.startupDelayMs : 0);
       successor.feed.sync();
       await successor.reconciler.reconcileOnce(never);
       gate.open();
-      await woken;
-      expect(engine.arrived).toBe(1);
+      await reconciled;
+      expect(engine.arrivedCount).toBe(1);
       expect(listVersions(engine)).toEqual(['w3']);
     },
   );
@@ -224,11 +229,11 @@
     ['strict', ['w3']],
     ['ignore', ['w3', 'w2', 'w3']],
   ] as const)(
-    'an engine (%s) that gets a command from the network late ends with the newest weights',
+    'an engine (%s) that receives a delayed command ends up with the newest weights',
     async (mode, expected) => {
       const sidecar = createSidecar(new TestEngine(mode));
-      clock.advance(WEIGHTS_TIMINGS.startWaitMs);
-      control.desired = 'w3';
+      clock.advance(WEIGHTS_TIMINGS.startupDelayMs);
+      control.desiredVersion = 'w3';
       sidecar.feed.sync();
       await sidecar.reconciler.reconcileOnce(never);
       await sidecar.engine.load('w2', 50n);
@@ -242,46 +247,46 @@
   const clock = new MonotonicClock();
 
   beforeEach(() => {
-    TestEngine.loading = 0;
-    TestEngine.mostLoading = 0;
+    TestEngine.loadingCount = 0;
+    TestEngine.maxLoadingCount = 0;
   });
 
-  it('stops when its slot lease ends during a load, and does not repeat the command', async () => {
+  it('aborts a load when the slot lease expires, and does not repeat the command', async () => {
     const gate = new TestGate();
     const control = new TestControl(clock);
     const engine = new TestEngine('strict', () => gate.opened);
-    const timings = { ...FAST, leaseMs: 500, renewMs: 20 };
+    const timings = { ...FAST, leaseDurationMs: 500, renewIntervalMs: 20 };
     const sidecar = new TestSidecar('e1', 1, control, engine, clock, timings);
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
-    const ended = sidecar.reconciler.reconcileOnce(never);
-    await waitFor(() => engine.arrived === 1);
+    const reconciled = sidecar.reconciler.reconcileOnce(never);
+    await waitFor(() => engine.arrivedCount === 1);
     control.isReachable = false;
-    await ended;
+    await reconciled;
     control.isReachable = true;
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.isHeld).toBe(true);
+    expect(sidecar.isPaused).toBe(true);
     gate.open();
     await waitFor(() => engine.loaded.length === 1);
     await sidecar.reconciler.reconcileOnce(never);
     await sidecar.reconciler.reconcileOnce(never);
-    expect(sidecar.isHeld).toBe(false);
-    expect(engine.arrived).toBe(1);
+    expect(sidecar.isPaused).toBe(false);
+    expect(engine.arrivedCount).toBe(1);
   });
 
-  it('keeps the slot for a load that takes longer than the lease', async () => {
+  it('renews the slot lease during a load that takes longer than the lease', async () => {
     const control = new TestControl(clock);
     const engine = new TestEngine('strict', () => delay(1_600));
-    const timings = { ...FAST, leaseMs: 1_000, renewMs: 20 };
+    const timings = { ...FAST, leaseDurationMs: 1_000, renewIntervalMs: 20 };
     const sidecar = new TestSidecar('e1', 1, control, engine, clock, timings);
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     sidecar.feed.sync();
-    const pauseMs = await sidecar.reconciler.reconcileOnce(never);
-    expect(pauseMs).toBe(FAST.pollMs);
+    const delayMs = await sidecar.reconciler.reconcileOnce(never);
+    expect(delayMs).toBe(FAST.pollIntervalMs);
     expect(listVersions(engine)).toEqual(['w2']);
   });
 
-  it('never takes both of two engines out of service, and changes both in the end', async () => {
+  it('never takes both of two engines out of service at once, and updates both in the end', async () => {
     const control = new TestControl(clock);
     const stop = new AbortController();
     const pair = [1, 2].map((id) => {
@@ -289,19 +294,19 @@
       return new TestSidecar(`e${id}`, id, control, engine, clock, FAST);
     });
     for (const sidecar of pair) {
-      sidecar.getPeers = () => {
+      sidecar.getPeerCount = () => {
         const other = pair.find((candidate) => candidate !== sidecar);
-        return { known: 1, serving: other?.isHeld === false ? 1 : 0 };
+        return { total: 1, serving: other?.isPaused === false ? 1 : 0 };
       };
     }
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     const syncing = keepSynced(pair);
     const running = pair.map(({ reconciler }) => reconciler.run(stop.signal));
     await waitFor(() => pair.every(({ engine }) => engine.weightsVersion === 'w2'));
     stop.abort();
     clearInterval(syncing);
     await Promise.all(running);
-    expect(TestEngine.mostLoading).toBe(1);
+    expect(TestEngine.maxLoadingCount).toBe(1);
   });
 
   it('loads 13 engines two at a time with a bounded number of commands to the leader', async () => {
@@ -312,15 +317,15 @@
       const engine = new TestEngine('strict', () => delay(30));
       return new TestSidecar(`e${index}`, index, control, engine, clock, FAST);
     });
-    control.desired = 'w2';
+    control.desiredVersion = 'w2';
     const syncing = keepSynced(sidecars);
     const running = sidecars.map(({ reconciler }) => reconciler.run(stop.signal));
     await waitFor(() => sidecars.every(({ engine }) => engine.weightsVersion === 'w2'));
     stop.abort();
     clearInterval(syncing);
     await Promise.all(running);
-    expect(TestEngine.mostLoading).toBe(2);
-    expect(sidecars.map(({ engine }) => engine.arrived)).toEqual(sidecars.map(() => 1));
-    expect(control.commands).toBeLessThan(13 * 15);
+    expect(TestEngine.maxLoadingCount).toBe(2);
+    expect(sidecars.map(({ engine }) => engine.arrivedCount)).toEqual(sidecars.map(() => 1));
+    expect(control.commandCount).toBeLessThan(13 * 15);
   });
 });
