--- a/src/cli/CommandSpecs.ts
+++ b/src/cli/CommandSpecs.ts
@@ -1,4 +1,4 @@
-/** All commands with their options and examples. */
+/** Declares every command of the command line with its options, examples and handler module. */
 import type { ICommandSpec, IOptionSpec } from './Types.js';
 
 const JSON_OPTION: IOptionSpec = { name: 'json', kind: 'flag', summary: 'Print JSON' };
@@ -35,28 +35,28 @@
   summary: 'Name recorded with the change (the user name if not given)',
 };
 
-/** Options of commands that read from control. */
+/** Options of commands that only read from the control members. */
 const READ_OPTIONS = [CONTROL_OPTION, SECRET_OPTION, TIMEOUT_OPTION, JSON_OPTION];
 
-/** Options of commands that change items. */
+/** Options of commands that change configuration items. */
 const CHANGE_OPTIONS = [...READ_OPTIONS, OPERATOR_OPTION];
 
 const CONTROL_EXAMPLE = '--control 10.0.0.1:7001,10.0.0.2:7001 --secret-file cluster-secret';
 
-/** Version option of `publish` under the name that the argument parser leaves free. */
+/** Internal name of `publish --version`, because the argument parser reserves `--version` for itself. */
 export const VERSION_OPTION = 'set-version';
 
 export const COMMANDS: readonly ICommandSpec[] = [
   {
     usage: 'check <dir> [...dirs]',
-    summary: 'Check the redwingwharf.json files below folders, without any connection.',
+    summary: 'Check the redwingwharf.json files below the given folders, without any connection.',
     options: [JSON_OPTION],
     examples: ['check services accounts'],
     loadHandler: async () => (await import('./commands/Check.js')).checkFiles,
   },
   {
     usage: 'publish <dir> [...dirs]',
-    summary: 'Publish the redwingwharf.json files below folders as one versioned change.',
+    summary: 'Publish the redwingwharf.json files below the given folders as one versioned change.',
     options: [
       ...CHANGE_OPTIONS,
       {
@@ -113,15 +113,15 @@
     options: [
       ...CHANGE_OPTIONS,
       { name: 'rate', kind: 'number', summary: 'Tokens per second', isRequired: true },
-      { name: 'burst', kind: 'number', summary: 'Tokens of a burst', isRequired: true },
+      { name: 'burst', kind: 'number', summary: 'Largest burst in tokens', isRequired: true },
       {
         name: 'services',
         kind: 'names',
-        summary: 'Services it may reach, comma-separated',
+        summary: 'Services that the account may use, comma-separated',
         isRequired: true,
       },
       { name: 'priority', kind: 'count', summary: 'Priority from 0 to 9 (5 if not given)' },
-      { name: 'replace', kind: 'flag', summary: 'Change an account that exists' },
+      { name: 'replace', kind: 'flag', summary: 'Change the account if it exists' },
     ],
     examples: [
       `account create bindery --rate 5000 --burst 60000 --services assessor,ledger ${CONTROL_EXAMPLE}`,
@@ -155,7 +155,7 @@
   },
   {
     usage: 'explain <request-id>',
-    summary: 'Show the decisions that entries took for a request.',
+    summary: 'Show the decisions that entries made for a request.',
     options: [{ ...ENTRIES_OPTION, isRequired: true }, SECRET_OPTION, TIMEOUT_OPTION, JSON_OPTION],
     examples: ['explain req-42 --entries 10.0.0.1:7001 --secret-file cluster-secret'],
     loadHandler: async () => (await import('./commands/Explain.js')).explainRequest,
@@ -182,13 +182,13 @@
   },
   {
     usage: 'init',
-    summary: 'Make the disk of a control member the first one of a new cluster.',
+    summary: 'Initialise the data directory of the first control member of a new cluster.',
     options: [
       { name: 'settings', kind: 'text', summary: 'Settings file of the member', isRequired: true },
       JSON_OPTION,
     ],
     examples: ['init --settings /etc/redwingwharf/entry-1.json'],
-    loadHandler: async () => (await import('./commands/Init.js')).initialiseFolder,
+    loadHandler: async () => (await import('./commands/Init.js')).initialiseDataDirectory,
   },
   {
     usage: 'run',
--- a/src/cli/Commands.test.ts
+++ b/src/cli/Commands.test.ts
@@ -40,16 +40,16 @@
 let folder = '';
 let servers: Server[] = [];
 
-/** A control member with the rules of docs/design.md 3.3, an entry and a sidecar on one port. */
+/** Serves a control member that follows docs/design.md 3.3, an entry and a sidecar on one port. */
 class FakeDeployment {
   public address = '';
   public version = 4n;
   public readonly items = new Map<string, Uint8Array>();
   public readonly changes: Change[] = [];
   public hasLeader = true;
-  /** Answers to lose after the change was applied. */
+  /** Number of answers to lose by closing the connection after the command was executed. */
   public lostAnswers = 0;
-  /** Runs before a change is judged, as a racing operator would. */
+  /** Called before a change is compared with the version, to apply the change of a competing operator first. */
   public beforeChange: (() => void) | undefined;
   public executeCalls = 0;
 
@@ -128,17 +128,17 @@
     }
     this.beforeChange?.();
     const digest = digestEdits(change.items);
-    const known = this.changes.find((other) => other.operationId === change.operationId);
-    if (known !== undefined && encodeHex(digestEdits(known.items)) === encodeHex(digest)) {
-      return this._accept(known.version, true);
+    const existing = this.changes.find((other) => other.operationId === change.operationId);
+    if (existing !== undefined && encodeHex(digestEdits(existing.items)) === encodeHex(digest)) {
+      return this._accept(existing.version, true);
     }
     if (change.version !== this.version + 1n) {
-      const taken = this.changes.find((other) => other.version === change.version);
-      const takenBy = taken && {
-        operationId: taken.operationId,
-        operator: taken.operator,
-        version: taken.version,
-        digest: digestEdits(taken.items),
+      const takenChange = this.changes.find((other) => other.version === change.version);
+      const takenBy = takenChange && {
+        operationId: takenChange.operationId,
+        operator: takenChange.operator,
+        version: takenChange.version,
+        digest: digestEdits(takenChange.items),
       };
       const conflict = { currentVersion: this.version, yourDigest: digest };
       const value = takenBy === undefined ? conflict : { ...conflict, takenBy };
@@ -202,7 +202,7 @@
 
 let deployment = new FakeDeployment();
 
-/** Options that reach the fake deployment. */
+/** Returns the options that connect a command to the fake deployment. */
 function connect(secretName = 'secret'): string[] {
   const secretFile = join(folder, secretName);
   return ['--control', deployment.address, '--secret-file', secretFile, '--timeout', '3'];
@@ -228,16 +228,16 @@
   return fromBinary(CallerKeySchema, value ?? new Uint8Array());
 }
 
-/** A change of another operator. */
-function createRival(version: bigint): Change {
+/** Creates a change of another operator at this version. */
+function createCompetingChange(version: bigint): Change {
   const items = [{ key: 'weights/other', value: new Uint8Array([1]) }];
   return create(ChangeSchema, { operationId: 'rival-op', operator: 'rival', version, items });
 }
 
 async function giveKey(account: string): Promise<{ text: string; keyId: string }> {
-  const given = await run('key', 'give', account, ...connect());
-  expect(given.exitCode).toBe(0);
-  return { text: given.out, keyId: parseCallerKey(given.out)?.keyId ?? '' };
+  const result = await run('key', 'give', account, ...connect());
+  expect(result.exitCode).toBe(0);
+  return { text: result.out, keyId: parseCallerKey(result.out)?.keyId ?? '' };
 }
 
 beforeEach(async () => {
@@ -261,7 +261,7 @@
 });
 
 describe('check', () => {
-  it('needs no connection and returns 1 for a fault, so that it can run before a merge', async () => {
+  it('needs no connection and returns 1 for an invalid file, so that it can run before a merge', async () => {
     const good = await run('check', join(folder, 'services'), '--json');
     expect(good.exitCode).toBe(0);
     expect(JSON.parse(good.out)).toMatchObject({
@@ -279,18 +279,18 @@
     run('publish', join(folder, 'services'), ...connect(), ...more);
 
   it('uses the next version and prints the operation id first', async () => {
-    const done = await publish('--json', '--operator', 'anna');
-    expect(done.exitCode).toBe(0);
-    expect(JSON.parse(done.out)).toMatchObject({ version: 5, replayed: false, items: 2 });
-    expect(done.warnings).toMatch(/^operation id [0-9a-f]{32}\n/);
+    const result = await publish('--json', '--operator', 'anna');
+    expect(result.exitCode).toBe(0);
+    expect(JSON.parse(result.out)).toMatchObject({ version: 5, replayed: false, items: 2 });
+    expect(result.warnings).toMatch(/^operation id [0-9a-f]{32}\n/);
     expect(deployment.changes[0]).toMatchObject({ operator: 'anna', version: 5n });
   });
 
-  it('recognises its change after a lost answer, so that it is neither lost nor applied twice', async () => {
+  it('repeats a change after a lost answer, so that it is neither lost nor applied twice', async () => {
     deployment.lostAnswers = 1;
-    const done = await publish('--json');
-    expect(done.exitCode).toBe(0);
-    expect(JSON.parse(done.out)).toMatchObject({ version: 5, replayed: true });
+    const result = await publish('--json');
+    expect(result.exitCode).toBe(0);
+    expect(JSON.parse(result.out)).toMatchObject({ version: 5, replayed: true });
     expect(deployment.changes).toHaveLength(1);
   });
 
@@ -308,88 +308,88 @@
     expect(deployment.changes).toHaveLength(1);
   });
 
-  it('returns 3 and names both contents when another operator took the version', async () => {
+  it('returns 3 and prints both digests when the version is taken by another operator', async () => {
     deployment.beforeChange = () => {
       deployment.beforeChange = undefined;
-      deployment.apply(createRival(5n));
+      deployment.apply(createCompetingChange(5n));
     };
-    const done = await publish('--operator', 'anna', '--operation-id', 'anna-op');
-    expect(done.exitCode).toBe(3);
-    const rivalDigest = encodeHex(digestEdits(createRival(5n).items));
-    expect(done.warnings).toContain('operator anna, operation anna-op, digest');
-    expect(done.warnings).toContain(`operator rival, operation rival-op, digest ${rivalDigest}`);
+    const result = await publish('--operator', 'anna', '--operation-id', 'anna-op');
+    expect(result.exitCode).toBe(3);
+    const rivalDigest = encodeHex(digestEdits(createCompetingChange(5n).items));
+    expect(result.warnings).toContain('operator anna, operation anna-op, digest');
+    expect(result.warnings).toContain(`operator rival, operation rival-op, digest ${rivalDigest}`);
     expect(deployment.items.has('service/ledger')).toBe(false);
   });
 
-  it('returns 3 for a version in the future, so that no change is skipped', async () => {
-    const done = await publish('--version', '9', '--json');
-    expect(done.exitCode).toBe(3);
-    expect(JSON.parse(done.out)).toMatchObject({
+  it('returns 3 for a version above the next one, so that no version is skipped', async () => {
+    const result = await publish('--version', '9', '--json');
+    expect(result.exitCode).toBe(3);
+    expect(JSON.parse(result.out)).toMatchObject({
       error: { kind: 'conflict', version: 9, currentVersion: 4 },
     });
   });
 
-  it('prunes what no file declares but never keys', async () => {
+  it('deletes items that no file declares with --prune, but never keys', async () => {
     storeService('old');
     storeAccount('old');
     deployment.items.set('weights/old', new Uint8Array([1]));
     storeAccount('lace');
     const { keyId } = await giveKey('lace');
-    const done = await publish('--prune', '--json');
-    expect(done.exitCode).toBe(0);
+    const result = await publish('--prune', '--json');
+    expect(result.exitCode).toBe(0);
     expect([...deployment.items.keys()].sort()).toEqual([
       'clientAccount/bindery',
       `key/${keyId}`,
       'service/ledger',
     ]);
-    expect(done.warnings).toContain(`redwingwharf key withdraw ${keyId}`);
-    expect(done.warnings).toContain(
+    expect(result.warnings).toContain(`redwingwharf key withdraw ${keyId}`);
+    expect(result.warnings).toContain(
       '--delete clientAccount/lace,clientAccount/old,service/old,weights/old',
     );
   });
 
-  it('repeats a pruned change by its --delete list, so that its content is the same', async () => {
+  it('repeats a change of --prune by its --delete list, so that its content is the same', async () => {
     storeService('old');
-    const first = await publish('--prune', '--operation-id', 'op-1');
-    expect(first.exitCode).toBe(0);
+    const firstResult = await publish('--prune', '--operation-id', 'op-1');
+    expect(firstResult.exitCode).toBe(0);
     const resend = ['--operation-id', 'op-1', '--version', '5', '--delete', 'service/old'];
-    const second = await publish(...resend, '--json');
-    expect(JSON.parse(second.out)).toMatchObject({ version: 5, replayed: true });
+    const repeatedResult = await publish(...resend, '--json');
+    expect(JSON.parse(repeatedResult.out)).toMatchObject({ version: 5, replayed: true });
     const stale = await publish('--operation-id', 'op-1', '--version', '5', '--prune');
     expect(stale.exitCode).not.toBe(0);
     expect(deployment.changes).toHaveLength(1);
   });
 
-  it('refuses to delete keys or declared items', async () => {
+  it('refuses to delete keys, declared items and items of unknown kinds', async () => {
     for (const key of ['key/0123456789ab', 'service/ledger', 'service/', 'other/x']) {
       expect((await publish('--delete', key)).exitCode).toBe(1);
     }
     expect(deployment.executeCalls).toBe(0);
   });
 
-  it('sends nothing when a file is faulty', async () => {
+  it('sends nothing when a file is invalid', async () => {
     writeFiles({ services: [PLAIN, PLAIN] });
     expect((await publish()).exitCode).toBe(1);
     expect(deployment.executeCalls).toBe(0);
   });
 
-  it('returns 1 at once for a wrong secret and never prints it', async () => {
-    const done = await run('publish', join(folder, 'services'), ...connect('wrong'));
-    expect(done.exitCode).toBe(1);
-    expect(done.warnings).toContain('--secret-file');
-    expect(done.warnings).not.toContain('another-secret');
+  it('returns 1 without a retry for a wrong secret and never prints it', async () => {
+    const result = await run('publish', join(folder, 'services'), ...connect('wrong'));
+    expect(result.exitCode).toBe(1);
+    expect(result.warnings).toContain('--secret-file');
+    expect(result.warnings).not.toContain('another-secret');
     expect(deployment.executeCalls).toBe(0);
   });
 
-  it('returns 4 without a leader, and nothing is sent', async () => {
+  it('returns 4 when no control member is leader, and does not run the change', async () => {
     deployment.hasLeader = false;
     const args = ['publish', join(folder, 'services'), ...connect().slice(0, 4), '--timeout', '1'];
-    const done = await run(...args);
-    expect(done.exitCode).toBe(4);
-    expect(done.warnings).toContain('No control member is leader');
-    const known = await run(...args, '--version', '5');
-    expect(known.exitCode).toBe(4);
-    expect(known.warnings).toContain('Not run');
+    const result = await run(...args);
+    expect(result.exitCode).toBe(4);
+    expect(result.warnings).toContain('No control member is leader');
+    const resultWithVersion = await run(...args, '--version', '5');
+    expect(resultWithVersion.exitCode).toBe(4);
+    expect(resultWithVersion.warnings).toContain('Not run');
   });
 });
 
@@ -406,16 +406,16 @@
   });
 
   it('is not given to an account that does not exist', async () => {
-    const done = await run('key', 'give', 'nobody', ...connect());
-    expect(done).toMatchObject({ exitCode: 1, out: '' });
+    const result = await run('key', 'give', 'nobody', ...connect());
+    expect(result).toMatchObject({ exitCode: 1, out: '' });
     expect(deployment.executeCalls).toBe(0);
   });
 
-  it('is given once when two operators race, and no key of the other is lost', async () => {
+  it('is stored once when two operators race, and the change of the other operator is kept', async () => {
     storeAccount('bindery');
     deployment.beforeChange = () => {
       deployment.beforeChange = undefined;
-      deployment.apply(createRival(5n));
+      deployment.apply(createCompetingChange(5n));
     };
     await giveKey('bindery');
     expect(deployment.version).toBe(6n);
@@ -424,23 +424,23 @@
     expect(keys).toHaveLength(1);
   });
 
-  it('is given once when the answer is lost', async () => {
+  it('is stored once when the answer is lost', async () => {
     storeAccount('bindery');
     deployment.lostAnswers = 1;
     await giveKey('bindery');
     expect(deployment.changes).toHaveLength(1);
   });
 
-  it('is not shown when its outcome is unknown, so that no key works unnoticed', async () => {
+  it('is not printed when its outcome is unknown; its id is, so that no key works unnoticed', async () => {
     storeAccount('bindery');
     deployment.lostAnswers = 1_000;
-    const done = await run('key', 'give', 'bindery', ...connect().slice(0, 4), '--timeout', '1');
-    expect(done).toMatchObject({ exitCode: 4, out: '' });
-    expect(done.warnings).toMatch(/key withdraw [0-9a-f]{12}/);
-    expect(done.warnings).not.toContain('rww_');
+    const result = await run('key', 'give', 'bindery', ...connect().slice(0, 4), '--timeout', '1');
+    expect(result).toMatchObject({ exitCode: 4, out: '' });
+    expect(result.warnings).toMatch(/key withdraw [0-9a-f]{12}/);
+    expect(result.warnings).not.toContain('rww_');
   });
 
-  it('stays on record once withdrawn, so that its id is never issued again', async () => {
+  it('keeps its record when withdrawn, so that its id is never issued again', async () => {
     storeAccount('bindery');
     const { text, keyId } = await giveKey('bindery');
     const before = readKey(keyId);
@@ -454,12 +454,12 @@
     expect(deployment.changes).toHaveLength(2);
   });
 
-  it('cannot be withdrawn by its whole text, which must not reach a shell history', async () => {
+  it('cannot be withdrawn by its whole text, which must not get into a shell history', async () => {
     storeAccount('bindery');
     const { text } = await giveKey('bindery');
-    const done = await run('key', 'withdraw', text, ...connect());
-    expect(done.exitCode).toBe(2);
-    expect(done.warnings).not.toContain(text);
+    const result = await run('key', 'withdraw', text, ...connect());
+    expect(result.exitCode).toBe(2);
+    expect(result.warnings).not.toContain(text);
     expect((await run('key', 'withdraw', '0123456789ab', ...connect())).exitCode).toBe(1);
   });
 
@@ -485,9 +485,9 @@
       run('account', 'create', 'bindery', ...connect(), ...more);
     expect((await create(...LIMITS)).exitCode).toBe(0);
     expect((await create(...LIMITS)).out).toContain('exists with these values');
-    const other = ['--rate', '60', '--burst', '4000', '--services', 'ledger'];
-    expect((await create(...other)).exitCode).toBe(1);
-    expect((await create(...other, '--replace')).exitCode).toBe(0);
+    const otherLimits = ['--rate', '60', '--burst', '4000', '--services', 'ledger'];
+    expect((await create(...otherLimits)).exitCode).toBe(1);
+    expect((await create(...otherLimits, '--replace')).exitCode).toBe(0);
     const listed = await run('account', 'list', '--json', ...connect());
     expect(JSON.parse(listed.out)).toMatchObject({
       accounts: [{ id: 'bindery', tokensPerSecond: 60, priority: 5, services: ['ledger'] }],
@@ -501,21 +501,21 @@
     ['a bad priority', [...LIMITS, '--priority', '10']],
   ])('is refused with %s', async (_name, options) => {
     storeService('ledger');
-    const done = await run('account', 'create', 'bindery', ...options, ...connect());
-    expect(done.exitCode).toBe(1);
+    const result = await run('account', 'create', 'bindery', ...options, ...connect());
+    expect(result.exitCode).toBe(1);
     expect(deployment.executeCalls).toBe(0);
   });
 
-  it('loses its keys with it, so that they do not work for a later account', async () => {
+  it('is deleted and its keys are withdrawn, so that they do not work for a later account', async () => {
     storeAccount('bindery');
     storeAccount('lace');
     const { keyId } = await giveKey('bindery');
-    const other = await giveKey('lace');
-    const done = await run('account', 'delete', 'bindery', '--json', ...connect());
-    expect(JSON.parse(done.out)).toMatchObject({ withdrawnKeys: [keyId] });
+    const otherKey = await giveKey('lace');
+    const result = await run('account', 'delete', 'bindery', '--json', ...connect());
+    expect(JSON.parse(result.out)).toMatchObject({ withdrawnKeys: [keyId] });
     expect(deployment.items.has('clientAccount/bindery')).toBe(false);
     expect(readKey(keyId).withdrawn).toBe(true);
-    expect(readKey(other.keyId).withdrawn).toBe(false);
+    expect(readKey(otherKey.keyId).withdrawn).toBe(false);
     expect((await run('account', 'delete', 'bindery', ...connect())).exitCode).toBe(1);
   });
 });
@@ -523,7 +523,7 @@
 describe('status, explain and drain', () => {
   it('shows members that answer and those that do not', async () => {
     const closed = '127.0.0.1:1';
-    const done = await run(
+    const result = await run(
       ...[
         'status',
         '--control',
@@ -533,11 +533,11 @@
       ],
       ...['--secret-file', join(folder, 'secret'), '--targets'],
     );
-    expect(done.exitCode).toBe(0);
-    expect(done.out).toMatch(/m1 +leader +3/);
-    expect(done.out).toMatch(/127\.0\.0\.1:1 +- +unreachable/);
-    expect(done.out).toContain('entry-1');
-    expect(done.out).toContain('engine-7');
+    expect(result.exitCode).toBe(0);
+    expect(result.out).toMatch(/m1 +leader +3/);
+    expect(result.out).toMatch(/127\.0\.0\.1:1 +- +unreachable/);
+    expect(result.out).toContain('entry-1');
+    expect(result.out).toContain('engine-7');
     const json = await run('status', '--json', ...connect(), '--entries', deployment.address);
     expect(JSON.parse(json.out)).toMatchObject({
       control: [{ role: 'leader', version: 4 }],
@@ -551,7 +551,7 @@
     expect((await run('status', ...options)).exitCode).toBe(4);
   });
 
-  it('tells a request without records from entries that did not answer', async () => {
+  it('returns 1 for a request without records, and 4 if an entry did not answer', async () => {
     const secret = ['--secret-file', join(folder, 'secret')];
     const explain = (id: string, entries: string): Promise<IRunResult> =>
       run('explain', id, '--entries', entries, ...secret);
@@ -562,11 +562,11 @@
 
   it('drains entries and sidecars and reports those that did not answer', async () => {
     const secret = ['--secret-file', join(folder, 'secret')];
-    const done = await run(
+    const result = await run(
       ...['drain', '--entries', deployment.address, '--sidecar', deployment.address],
       ...[...secret, '--json'],
     );
-    expect(JSON.parse(done.out)).toMatchObject({
+    expect(JSON.parse(result.out)).toMatchObject({
       drained: [
         { role: 'entry', openRequests: 2 },
         { role: 'sidecar', openRequests: 1 },
@@ -578,7 +578,7 @@
 });
 
 describe('init and run', () => {
-  it('hand over absolute paths and complete settings, so that nothing depends on the folder', async () => {
+  it('pass on absolute paths and complete settings, so that the working folder does not matter', async () => {
     const settings = {
       instance: 'c1',
       region: 'dar-coast',
@@ -598,10 +598,10 @@
     expect((await run('init', '--settings', file)).exitCode).toBe(1);
   });
 
-  it('starts no role with faulty settings', async () => {
+  it('start no role with invalid settings', async () => {
     const count = ranSettings.length;
-    const done = await run('run', '--settings', join(folder, 'none.json'));
-    expect(done.exitCode).toBe(1);
+    const result = await run('run', '--settings', join(folder, 'none.json'));
+    expect(result.exitCode).toBe(1);
     expect(ranSettings).toHaveLength(count);
   });
 });
@@ -623,22 +623,34 @@
     [['publish', 'x', '--control', '1.2.3.4:1', '--secret-file', 'x', '--version=-1']],
     [['publish', 'x', '--secret-file', 'x', '--control', '1.2.3.4:1', '--control', '1.2.3.4:2']],
     [['init']],
-  ])('returns 2 for %j, so that scripts tell a typing error from a refusal', async (argv) => {
-    vi.spyOn(console, 'error').mockImplementation(() => undefined);
-    expect((await run(...argv)).exitCode).toBe(2);
-  });
+  ])(
+    'returns 2 for %j, so that scripts can tell wrong usage from a refused command',
+    async (argv) => {
+      vi.spyOn(console, 'error').mockImplementation(() => undefined);
+      expect((await run(...argv)).exitCode).toBe(2);
+    },
+  );
 
-  it('never throws on arbitrary arguments, so that a typing error shows no stack', async () => {
+  it('never throws on arbitrary arguments, so that wrong usage prints no stack trace', async () => {
     vi.spyOn(console, 'error').mockImplementation(() => undefined);
     vi.spyOn(console, 'log').mockImplementation(() => undefined);
     const words = COMMANDS.flatMap(({ usage, options }) => [
       ...usage.split(' ').filter((part) => /^[a-z]/.test(part)),
       ...options.map((option) => `--${option.name}`),
     ]);
-    const odd = ['constructor', '__proto__', '__all__', '--constructor', '-', '--', '--=', '--no-'];
-    // Without slashes and dots "check" stays below the working folder.
-    const noise = fc.string().filter((text) => !/[/.]/.test(text));
-    const word = fc.oneof(fc.constantFrom(...words, ...odd), noise);
+    const parserEdgeCases = [
+      'constructor',
+      '__proto__',
+      '__all__',
+      '--constructor',
+      '-',
+      '--',
+      '--=',
+      '--no-',
+    ];
+    // No slashes and dots, so that "check" reads only folders below the working folder.
+    const arbitraryText = fc.string().filter((text) => !/[/.]/.test(text));
+    const word = fc.oneof(fc.constantFrom(...words, ...parserEdgeCases), arbitraryText);
     await fc.assert(
       fc.asyncProperty(fc.array(word, { maxLength: 8 }), async (argv) => {
         const { exitCode } = await run(...argv);
--- a/src/cli/Commands.ts
+++ b/src/cli/Commands.ts
@@ -1,4 +1,4 @@
-/** The command line: parses arguments and runs one command. */
+/** Entry point of the command line: parses the arguments and runs the command that they name. */
 import sade from 'sade';
 import { COMMANDS, VERSION_OPTION } from './CommandSpecs.js';
 import { createInput, type RawOptions } from './Input.js';
@@ -6,12 +6,12 @@
 
 const PROGRAM = 'redwingwharf';
 
-interface IParsedLine {
+interface IParsedCommand {
   readonly spec: ICommandSpec;
   readonly input: ICommandInput;
 }
 
-/** Thrown in place of the exit that the argument parser asks for. */
+/** Thrown instead of exiting the process when the argument parser calls `process.exit`. */
 class ParserExit extends Error {}
 
 function isSameCommand(spec: ICommandSpec, name: string): boolean {
@@ -34,7 +34,10 @@
   return program;
 }
 
-/** The parser takes --version for itself, so `publish` receives it under another name. */
+/**
+ * Renames the `--version` option of `publish` to `--set-version`, because the parser would print the program's
+ * version for it.
+ */
 function convertVersionOption(argv: readonly string[]): string[] {
   if (argv[0] !== 'publish') {
     return [...argv];
@@ -56,10 +59,11 @@
 }
 
 /**
- * Parses with the library. It ends the process with code 1 on wrong usage, where the documented code is 2,
- * so its exit is turned into an exception for this synchronous call.
+ * Parses the arguments with the parser library; undefined after it printed the help or the version. The
+ * library exits with code 1 on wrong usage, but the documented code is 2. `process.exit` is therefore replaced
+ * by a function that throws `ParserExit` for the duration of this synchronous call.
  */
-function parseLine(program: sade.Sade, argv: readonly string[]): sade.LazyOutput | undefined {
+function parseArguments(program: sade.Sade, argv: readonly string[]): sade.LazyOutput | undefined {
   const exit = process.exit.bind(process);
   process.exit = () => {
     throw new ParserExit();
@@ -76,14 +80,14 @@
   }
 }
 
-/** The parser reads `--json=x` as a flag and an argument x; no flag has a value. */
+/** Finds a flag that was given a value. The parser reads `--json=x` as the flag and a positional argument x. */
 function findFlagWithValue(argv: readonly string[]): string | undefined {
   const prefixes = listOptionNames(true).map((name) => `--${name}=`);
   return argv.find((argument) => prefixes.some((prefix) => argument.startsWith(prefix)));
 }
 
-/** Positionals that the usage allows; `undefined` stands for "any number". */
-function countPositionals(spec: ICommandSpec): number | undefined {
+/** Largest number of positional arguments that the usage allows; undefined if it is unlimited. */
+function getMaxPositionals(spec: ICommandSpec): number | undefined {
   const words = spec.usage.split(' ');
   return spec.usage.includes('[...')
     ? undefined
@@ -95,23 +99,23 @@
   return `${message}. Run "${PROGRAM} ${words.join(' ')} --help".`;
 }
 
-function createParsedLine(
-  line: sade.LazyOutput,
+function createParsedCommand(
+  parserOutput: sade.LazyOutput,
   context: ICommandContext,
-): IParsedLine | undefined {
-  const spec = COMMANDS.find((command) => isSameCommand(command, line.name));
-  // Positionals come first; the last element holds the options and further positionals.
-  const args: readonly unknown[] = line.args;
+): IParsedCommand | undefined {
+  const spec = COMMANDS.find((command) => isSameCommand(command, parserOutput.name));
+  // The last element of `args` holds the options and, in `_`, the positionals beyond those of the usage.
+  const args: readonly unknown[] = parserOutput.args;
   const raw = (args.at(-1) ?? {}) as RawOptions & { readonly _: readonly string[] };
-  const named = args.slice(0, -1).filter((value) => typeof value === 'string');
-  const positionals = [...named, ...raw._.map(String)];
+  const usagePositionals = args.slice(0, -1).filter((value) => typeof value === 'string');
+  const positionals = [...usagePositionals, ...raw._.map(String)];
   if (spec === undefined) {
-    context.output.warn(`Unknown command: ${line.name}. Run "${PROGRAM} --help".`);
+    context.output.warn(`Unknown command: ${parserOutput.name}. Run "${PROGRAM} --help".`);
     return undefined;
   }
-  const limit = countPositionals(spec);
-  if (limit !== undefined && positionals.length > limit) {
-    const extra = positionals.slice(limit).join(' ');
+  const maxPositionals = getMaxPositionals(spec);
+  if (maxPositionals !== undefined && positionals.length > maxPositionals) {
+    const extra = positionals.slice(maxPositionals).join(' ');
     context.output.warn(explainUsage(spec, `Unexpected argument: ${extra}`));
     return undefined;
   }
@@ -124,7 +128,7 @@
 }
 
 /**
- * Runs the command that the arguments name and returns the exit code.
+ * Runs the command that the arguments name and returns its exit code, see `EXIT_CODE`.
  *
  * @example
  * process.exitCode = await runCommand(process.argv.slice(2), '0.1.0', context);
@@ -134,26 +138,26 @@
   version: string,
   context: ICommandContext,
 ): Promise<number> {
-  const flag = findFlagWithValue(argv);
-  if (flag !== undefined) {
-    context.output.warn(`${flag}: the option takes no value. Run "${PROGRAM} --help".`);
+  const flagWithValue = findFlagWithValue(argv);
+  if (flagWithValue !== undefined) {
+    context.output.warn(`${flagWithValue}: the option takes no value. Run "${PROGRAM} --help".`);
     return EXIT_CODE.usage;
   }
   const program = createProgram(version);
-  let line: sade.LazyOutput | undefined;
+  let parserOutput: sade.LazyOutput | undefined;
   try {
-    line = parseLine(program, convertVersionOption(argv));
+    parserOutput = parseArguments(program, convertVersionOption(argv));
   } catch (error) {
-    // The parser looks words up on plain objects and fails on names such as "constructor".
+    // The parser looks up arguments in plain objects, so inherited names such as "constructor" make it throw.
     if (!(error instanceof ParserExit)) {
       context.output.warn(`The arguments cannot be parsed. Run "${PROGRAM} --help".`);
     }
     return EXIT_CODE.usage;
   }
-  if (line === undefined) {
+  if (parserOutput === undefined) {
     return EXIT_CODE.ok;
   }
-  const parsed = createParsedLine(line, context);
+  const parsed = createParsedCommand(parserOutput, context);
   if (parsed === undefined) {
     return EXIT_CODE.usage;
   }
--- a/src/cli/ControlAccess.ts
+++ b/src/cli/ControlAccess.ts
@@ -1,4 +1,4 @@
-/** Access of the commands to the control members: current items and changes. */
+/** How commands reach the control members: reads of the current items, changes and status calls. */
 import { ConnectError } from '@connectrpc/connect';
 import { SILENT_LOG } from '../common/Log.js';
 import { Err, Ok, type Result } from '../common/Result.js';
@@ -24,36 +24,37 @@
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from './Types.js';
 
 const CALL_TIMEOUT_MS = 2_000;
-const RETRY_PAUSE_MS = 200;
+const RETRY_INTERVAL_MS = 200;
 const DEFAULT_TIMEOUT_SECONDS = 15;
 
-/** An older copy may lack changes that were accepted since. */
+/** A copy that was confirmed longer ago may lack changes that were accepted since. */
 const MAX_COPY_AGE_MS = 3_000;
 
-/** The items as the leader holds them. */
+/** Copy of all configuration items of the leader, with the version that it belongs to. */
 export interface IItemsCopy {
   readonly version: bigint;
   readonly revision: bigint;
   readonly items: ReadonlyMap<string, Uint8Array>;
 }
 
-/** What commands need of the control members. */
+/** Operations on the control members that the commands use. */
 export interface IControlAccess {
   execute(
     command: ICommandBody,
     signal: AbortSignal,
     options?: IExecuteOptions,
   ): Promise<Result<CommandResult, ControlFailure>>;
+  /** Reads the current items from the leader. */
   readItems(signal: AbortSignal): Promise<Result<IItemsCopy, ControlFailure>>;
 }
 
-/** One answer of a control member, or why there is none. */
+/** Status of one control member, or why it could not be read. */
 export interface IMemberStatus {
   readonly address: string;
   readonly status: Result<GetControlStatusResponse, ControlFailure>;
 }
 
-/** Failure of a read; reads change nothing, so no outcome of theirs is unknown. */
+/** Describes the failure of a read. A read changes nothing, so its failure is never `indeterminate`. */
 export function describeReadError(address: string, error: unknown): ControlFailure {
   const { kind } = describeCallError(error);
   if (kind === 'forbidden') {
@@ -64,7 +65,7 @@
   return { kind: 'unreachable', message: `${address} did not answer (${reason}).` };
 }
 
-/** Asks every control member for its status. */
+/** Reads the status of every control member in parallel; each call has its own timeout. */
 export async function fetchMemberStatus(
   clients: RpcClients,
   addresses: readonly string[],
@@ -82,19 +83,23 @@
   return Promise.all(addresses.map(fetchOne));
 }
 
-/** Address of the leader with the highest term, by its own word before that of others. */
+/**
+ * Address of the leader of the highest term that any member reported; undefined if none names a leader. In
+ * the same term a member that reports itself as leader takes precedence over what other members report.
+ */
 function findLeader(members: readonly IMemberStatus[]): string | undefined {
-  let best: { address: string; term: bigint; isOwn: boolean } | undefined;
+  let best: { address: string; term: bigint; isSelfReported: boolean } | undefined;
   for (const { address, status } of members) {
     if (status.err) {
       continue;
     }
     const { role, term, leaderAddress } = status.val;
-    const isOwn = role === 'leader';
-    const leader = isOwn ? address : leaderAddress;
-    const isBetter = best === undefined || term > best.term || (term === best.term && isOwn);
+    const isSelfReported = role === 'leader';
+    const leader = isSelfReported ? address : leaderAddress;
+    const isBetter =
+      best === undefined || term > best.term || (term === best.term && isSelfReported);
     if (leader !== '' && isBetter) {
-      best = { address: leader, term, isOwn };
+      best = { address: leader, term, isSelfReported };
     }
   }
   return best?.address;
@@ -115,7 +120,7 @@
   return { kind: 'not_run', message };
 }
 
-function convertCopy(response: SyncResponse): IItemsCopy {
+function convertToItemsCopy(response: SyncResponse): IItemsCopy {
   const items = new Map<string, Uint8Array>();
   for (const item of response.items) {
     if (!item.deleted) {
@@ -125,7 +130,7 @@
   return { version: response.version, revision: response.revision, items };
 }
 
-/** The control members by address. */
+/** Runs commands on the control members at the given addresses and reads the items from their leader. */
 export class ControlAccess implements IControlAccess {
   private readonly _client: ControlClient;
 
@@ -145,14 +150,18 @@
     return this._client.execute(command, signal, { timeoutMs: this._timeoutMs, ...options });
   }
 
-  /** Reads all items from the leader; a follower's copy may lack the last change. */
+  /**
+   * Reads all items from the leader, because a follower's copy may lack the last change. Retries until the
+   * time limit of the command; a wrong cluster secret fails at once.
+   */
   public async readItems(signal: AbortSignal): Promise<Result<IItemsCopy, ControlFailure>> {
-    const limit = limitSignal(signal, this._timeoutMs);
-    let earlier: ControlFailure | undefined;
+    const limitedSignal = limitSignal(signal, this._timeoutMs);
+    let previousFailure: ControlFailure | undefined;
     for (;;) {
-      const members = await fetchMemberStatus(this._clients, this._addresses, limit);
+      const members = await fetchMemberStatus(this._clients, this._addresses, limitedSignal);
       const leader = findLeader(members);
-      const copy = leader === undefined ? undefined : await this._readFrom(leader, limit);
+      const copy =
+        leader === undefined ? undefined : await this._readItemsFrom(leader, limitedSignal);
       if (copy !== undefined) {
         return Ok(copy);
       }
@@ -160,35 +169,41 @@
       if (failure.kind === 'forbidden') {
         return Err(failure);
       }
-      if (isAborted(limit)) {
-        // The last round was cut off and says nothing about the members.
-        return Err(earlier ?? failure);
+      if (isAborted(limitedSignal)) {
+        // The time limit aborted the calls of this round, so only the previous round describes the members.
+        return Err(previousFailure ?? failure);
       }
-      earlier = failure;
-      await sleep(addJitter(RETRY_PAUSE_MS), limit);
+      previousFailure = failure;
+      await sleep(addJitter(RETRY_INTERVAL_MS), limitedSignal);
     }
   }
 
-  /** Copy of a leader that knows that it is up to date. */
-  private async _readFrom(address: string, signal: AbortSignal): Promise<IItemsCopy | undefined> {
+  /** Reads the items of a leader; undefined if the call fails or the copy was not confirmed recently enough. */
+  private async _readItemsFrom(
+    address: string,
+    signal: AbortSignal,
+  ): Promise<IItemsCopy | undefined> {
     try {
       const client = this._clients.get(FeedService, address);
       const request = { haveRevision: 0n, instance: 'operator' };
       const response = await client.sync(request, { signal, timeoutMs: CALL_TIMEOUT_MS });
       const isFresh = response.ageMs !== undefined && response.ageMs <= MAX_COPY_AGE_MS;
-      return isFresh ? convertCopy(response) : undefined;
+      return isFresh ? convertToItemsCopy(response) : undefined;
     } catch {
       return undefined;
     }
   }
 }
 
-/** Time limit of the command in milliseconds. */
+/** Time limit of the command in milliseconds, from `--timeout` or the default. */
 export function getTimeoutMs(input: ICommandInput): number {
   return (input.getNumber('timeout') ?? DEFAULT_TIMEOUT_SECONDS) * 1_000;
 }
 
-/** Runs an action with clients that carry the cluster secret, and closes them afterwards. */
+/**
+ * Runs an action with RPC clients that send the secret of `--secret-file`, and disposes of them afterwards.
+ * Returns the exit code of the action, or reports an unusable secret.
+ */
 export async function useClients(
   input: ICommandInput,
   context: ICommandContext,
@@ -219,7 +234,7 @@
   );
 }
 
-/** Reports a failure of control and returns its exit code. */
+/** Reports a failed call to the control members and returns its exit code. */
 export function reportControlFailure(
   input: ICommandInput,
   context: ICommandContext,
--- a/src/cli/EditReport.ts
+++ b/src/cli/EditReport.ts
@@ -1,10 +1,10 @@
-/** Reports edits of single items. */
+/** Reports the failures of commands that edit single items. */
 import { reportControlFailure } from './ControlAccess.js';
 import type { EditFailure, PublishFailure } from './Publisher.js';
 import { reportFailure } from './Report.js';
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from './Types.js';
 
-/** Reports why an edit was not made and returns the exit code. */
+/** Reports why an edit was not applied and returns the exit code. */
 export function reportEditFailure(
   input: ICommandInput,
   context: ICommandContext,
--- a/src/cli/Input.ts
+++ b/src/cli/Input.ts
@@ -1,9 +1,9 @@
-/** Checks the options of a command line. */
+/** Validates the options of a command line and gives commands typed access to them. */
 import { explainBadAddress } from '../settings/CrossChecks.js';
 import { Err, Ok, type Result } from '../common/Result.js';
 import type { ICommandInput, IOptionSpec, OptionKind } from './Types.js';
 
-/** Values as the argument parser delivers them. */
+/** Option values by name, as the argument parser returns them. */
 export type RawOptions = Readonly<Record<string, unknown>>;
 
 const ADDRESS_PATTERN = /^([0-9.]+|\[[0-9a-fA-F:]+\]):[0-9]{1,5}$/;
@@ -24,17 +24,17 @@
     return undefined;
   }
   for (const part of parts) {
-    const fault = ADDRESS_PATTERN.test(part)
+    const reason = ADDRESS_PATTERN.test(part)
       ? explainBadAddress(part)
-      : `"${part}" is not an IP number and a port`;
-    if (fault !== undefined) {
-      return `${fault}; write addresses such as 10.0.0.5:7001`;
+      : `"${part}" is not an IP address and a port`;
+    if (reason !== undefined) {
+      return `${reason}; write addresses such as 10.0.0.5:7001`;
     }
   }
   return undefined;
 }
 
-/** Explains what is wrong with a value of an option, or undefined when it is usable. */
+/** Returns what is wrong with the value of an option, or undefined if it is valid. */
 function explainBadValue(kind: OptionKind, value: unknown): string | undefined {
   if (kind === 'flag') {
     return typeof value === 'boolean' ? undefined : 'takes no value';
@@ -69,23 +69,23 @@
       }
       continue;
     }
-    const fault = explainBadValue(spec.kind, value);
-    if (fault !== undefined) {
-      return `--${spec.name} ${fault}`;
+    const reason = explainBadValue(spec.kind, value);
+    if (reason !== undefined) {
+      return `--${spec.name} ${reason}`;
     }
   }
   return undefined;
 }
 
-/** Checks parsed options against their specification; a failure says what is wrong. */
+/** Validates parsed options against their specification; the error says which option is wrong and why. */
 export function createInput(
   specs: readonly IOptionSpec[],
   positionals: readonly string[],
   raw: RawOptions,
 ): Result<ICommandInput, string> {
-  const fault = explainBadOptions(specs, raw);
-  if (fault !== undefined) {
-    return Err(fault);
+  const reason = explainBadOptions(specs, raw);
+  if (reason !== undefined) {
+    return Err(reason);
   }
   const getText = (name: string): string | undefined => {
     const value = raw[name];
--- a/src/cli/ItemReader.ts
+++ b/src/cli/ItemReader.ts
@@ -1,4 +1,4 @@
-/** Decodes items of a copy. */
+/** Decodes items from a copy of the configuration. */
 import { fromBinary, type DescMessage, type MessageShape } from '@bufbuild/protobuf';
 import type { IItemsCopy } from './ControlAccess.js';
 
@@ -7,7 +7,7 @@
   readonly value: T;
 }
 
-/** Decodes an item; undefined when there is none. */
+/** Decodes the item with this key; undefined if the copy has none. */
 export function decodeItem<T extends DescMessage>(
   copy: IItemsCopy,
   key: string,
--- a/src/cli/Items.ts
+++ b/src/cli/Items.ts
@@ -1,7 +1,7 @@
-/** Items of the configuration as an operator's change carries them. */
+/** Edits of configuration items, as sent in an operator's change. */
 import { digestSha256 } from '../common/Hashes.js';
 
-/** First part of the item keys. */
+/** Prefixes of item keys, one for each kind of item. */
 export const ITEM_PREFIX = {
   service: 'service/',
   clientAccount: 'clientAccount/',
@@ -9,28 +9,28 @@
   key: 'key/',
 } as const;
 
-/** Items that operator files declare; keys are issued one by one and belong to no file. */
+/** Prefixes of the items that operator files declare. Caller keys are issued one by one and are in no file. */
 export const DECLARED_PREFIXES: readonly string[] = [
   ITEM_PREFIX.service,
   ITEM_PREFIX.clientAccount,
   ITEM_PREFIX.weights,
 ];
 
-/** New value of an item, or its deletion. */
+/** New value of an item, or its deletion; the value of a deletion is empty. */
 export interface IItemEdit {
   readonly key: string;
   readonly value: Uint8Array;
   readonly delete: boolean;
 }
 
-/** Edits in the one order that every file order leads to. */
+/** Sorts edits by key, so that their order does not depend on the order of the files. */
 export function sortEdits(edits: readonly IItemEdit[]): IItemEdit[] {
   return [...edits].sort((left, right) => (left.key < right.key ? -1 : 1));
 }
 
 /**
- * Digest of edits, independent of their order. Each field is preceded by its length, so that no two
- * different lists digest to the same text.
+ * SHA-256 digest of edits, independent of their order. Each field is preceded by its length, so that two
+ * different lists are never hashed as the same bytes.
  */
 export function digestEdits(edits: readonly IItemEdit[]): Uint8Array {
   const parts = sortEdits(edits).flatMap((edit) => [
--- a/src/cli/OperatorChecks.ts
+++ b/src/cli/OperatorChecks.ts
@@ -1,4 +1,4 @@
-/** Checks between the entries of all operator files, which one file's schema cannot express. */
+/** Consistency checks across the entries of all operator files, which the schema of one file cannot express. */
 import type {
   ClientAccountEntry,
   RouteEntry,
@@ -6,80 +6,80 @@
   WeightsEntry,
 } from '../gen/operator.js';
 
-/** Paths that the entry answers itself. */
+/** Paths that the entry serves for model services; plain services cannot use them. */
 const RESERVED_PATHS = ['/v1/chat/completions', '/v1/completions', '/v1/models'];
 
-/** Characters of a path that need no encoding, so that a path has one spelling only. */
+/** Paths of characters that need no percent-encoding, so that each path has only one spelling. */
 const PATH_PATTERN = /^\/[A-Za-z0-9._~!$&'()*+,;=:@/-]*$/;
 
-/** An entry with the place that declares it. */
-export interface IDeclared<T> {
+/** An entry with the file and the JSON pointer at which it is declared. */
+export interface IDeclaredEntry<T> {
   readonly file: string;
   readonly pointer: string;
   readonly value: T;
 }
 
-/** All entries of all files. */
+/** The entries of all operator files. */
 export interface IDeclarations {
-  readonly services: readonly IDeclared<ServiceEntry>[];
-  readonly clientAccounts: readonly IDeclared<ClientAccountEntry>[];
-  readonly weights: readonly IDeclared<WeightsEntry>[];
+  readonly services: readonly IDeclaredEntry<ServiceEntry>[];
+  readonly clientAccounts: readonly IDeclaredEntry<ClientAccountEntry>[];
+  readonly weights: readonly IDeclaredEntry<WeightsEntry>[];
 }
 
-/** Receives each fault. `suffix` is the pointer below the entry. */
-export type ReportDeclared = (
-  declared: IDeclared<unknown>,
+/** Receives each problem. `suffix` is the JSON pointer of the wrong value, relative to the entry. */
+export type ReportProblem = (
+  declared: IDeclaredEntry<unknown>,
   suffix: string,
   message: string,
   remedy: string,
 ) => void;
 
-interface IPlacedRoute {
-  readonly service: IDeclared<ServiceEntry>;
+interface IDeclaredRoute {
+  readonly service: IDeclaredEntry<ServiceEntry>;
   readonly suffix: string;
   readonly route: RouteEntry;
 }
 
-function describePlace(declared: IDeclared<unknown>, suffix = ''): string {
+function describeLocation(declared: IDeclaredEntry<unknown>, suffix = ''): string {
   return `${declared.file} ${declared.pointer}${suffix}`;
 }
 
-/** Indexes entries by name and reports a second entry under a name already taken. */
+/** Indexes entries by name and reports every entry whose name is already declared. */
 function indexByName<T>(
-  entries: readonly IDeclared<T>[],
-  what: string,
+  entries: readonly IDeclaredEntry<T>[],
+  entryKind: string,
   getName: (value: T) => string,
-  report: ReportDeclared,
-): Map<string, IDeclared<T>> {
-  const index = new Map<string, IDeclared<T>>();
+  report: ReportProblem,
+): Map<string, IDeclaredEntry<T>> {
+  const index = new Map<string, IDeclaredEntry<T>>();
   for (const entry of entries) {
     const name = getName(entry.value);
     const first = index.get(name);
     if (first === undefined) {
       index.set(name, entry);
     } else {
-      const message = `${what} "${name}" is declared twice, first at ${describePlace(first)}`;
+      const message = `${entryKind} "${name}" is declared twice, first at ${describeLocation(first)}`;
       report(entry, '', message, 'Keep one of the two.');
     }
   }
   return index;
 }
 
-function checkServiceKind(declared: IDeclared<ServiceEntry>, report: ReportDeclared): void {
+function checkServiceKind(declared: IDeclaredEntry<ServiceEntry>, report: ReportProblem): void {
   const { kind, models = [], routes = [] } = declared.value;
   if (kind === 'model' && models.length === 0) {
     report(declared, '', 'a model service needs "models"', 'List at least one model.');
   }
   if (kind === 'model' && routes.length > 0) {
     const remedy = 'Remove "routes"; callers reach models through /v1 paths.';
-    report(declared, '/routes', 'a model service has no routes', remedy);
+    report(declared, '/routes', 'a model service must not have "routes"', remedy);
   }
   if (kind === 'plain' && routes.length === 0) {
     report(declared, '', 'a plain service needs "routes"', 'Add at least one route.');
   }
   if (kind === 'plain' && models.length > 0) {
     const remedy = 'Remove "models", or set "kind" to "model".';
-    report(declared, '/models', 'a plain service has no models', remedy);
+    report(declared, '/models', 'a plain service must not have "models"', remedy);
   }
 }
 
@@ -87,7 +87,7 @@
   return path === prefix || prefix === '/' || path.startsWith(`${prefix}/`);
 }
 
-/** Explains why a path has more than one spelling, if it has. */
+/** Returns why a path could be spelt in more than one way, or undefined if it has only one spelling. */
 function explainBadPath(path: string): string | undefined {
   if (path === '/') {
     return undefined;
@@ -102,12 +102,12 @@
   return undefined;
 }
 
-function checkRoute({ service, suffix, route }: IPlacedRoute, report: ReportDeclared): void {
-  const fault = explainBadPath(route.path);
-  if (fault !== undefined) {
+function checkRoute({ service, suffix, route }: IDeclaredRoute, report: ReportProblem): void {
+  const reason = explainBadPath(route.path);
+  if (reason !== undefined) {
     const remedy =
       'Write plain segments such as /orders/new, without a slash at the end or encoded characters.';
-    report(service, `${suffix}/path`, fault, remedy);
+    report(service, `${suffix}/path`, reason, remedy);
   }
   const reserved = RESERVED_PATHS.find((prefix) => isWithin(route.path, prefix));
   if (reserved !== undefined) {
@@ -115,14 +115,14 @@
     report(service, `${suffix}/path`, message, 'Use another path.');
   }
   if (route.open === true && route.nonRepeatable === true) {
-    // A claim is recorded for a client account, and an open call has none.
+    // Claims are recorded for a client account, and a call to an open route has no client account.
     const message =
       'an open route cannot be non-repeatable, because calls without a key have no claim';
     report(service, suffix, message, 'Remove "open" or "nonRepeatable".');
   }
 }
 
-function listRoutes(services: readonly IDeclared<ServiceEntry>[]): IPlacedRoute[] {
+function listRoutes(services: readonly IDeclaredEntry<ServiceEntry>[]): IDeclaredRoute[] {
   return services.flatMap((service) =>
     (service.value.routes ?? []).map((route, index) => {
       return { service, suffix: `/routes/${index}`, route };
@@ -133,55 +133,65 @@
 function hasSharedMethod(left: RouteEntry, right: RouteEntry): boolean {
   const methods = left.methods ?? [];
   const others = right.methods ?? [];
-  // A route without methods takes all of them.
+  // A route that lists no methods accepts all methods.
   return (
     methods.length === 0 || others.length === 0 || methods.some((method) => others.includes(method))
   );
 }
 
-/** The path and every prefix of it by whole segments. */
+/** Every prefix of a path that ends at a segment boundary, from `/` up to the path itself. */
 function listPrefixes(path: string): string[] {
   const segments = path.split('/').filter((segment) => segment !== '');
   return ['/', ...segments.map((_segment, index) => `/${segments.slice(0, index + 1).join('/')}`)];
 }
 
-function isConflict(placed: IPlacedRoute, other: IPlacedRoute): boolean {
-  if (placed === other) {
+function isConflict(declaredRoute: IDeclaredRoute, otherRoute: IDeclaredRoute): boolean {
+  if (declaredRoute === otherRoute) {
     return false;
   }
-  if (placed.service !== other.service) {
+  if (declaredRoute.service !== otherRoute.service) {
     return true;
   }
-  // Within a service the longest path wins; only equal paths compete.
-  return placed.route.path === other.route.path && hasSharedMethod(placed.route, other.route);
+  // Within a service the longest matching path is used, so only equal paths conflict.
+  return (
+    declaredRoute.route.path === otherRoute.route.path &&
+    hasSharedMethod(declaredRoute.route, otherRoute.route)
+  );
 }
 
-function checkOverlaps(routes: readonly IPlacedRoute[], report: ReportDeclared): void {
-  const byPath = new Map<string, IPlacedRoute[]>();
-  for (const placed of routes) {
-    const known = byPath.get(placed.route.path);
-    if (known === undefined) {
-      byPath.set(placed.route.path, [placed]);
+function checkOverlaps(routes: readonly IDeclaredRoute[], report: ReportProblem): void {
+  const byPath = new Map<string, IDeclaredRoute[]>();
+  for (const declaredRoute of routes) {
+    const routesAtPath = byPath.get(declaredRoute.route.path);
+    if (routesAtPath === undefined) {
+      byPath.set(declaredRoute.route.path, [declaredRoute]);
     } else {
-      known.push(placed);
+      routesAtPath.push(declaredRoute);
     }
   }
-  for (const placed of routes) {
-    const candidates = listPrefixes(placed.route.path).flatMap((path) => byPath.get(path) ?? []);
-    const other = candidates.find((candidate) => isConflict(placed, candidate));
-    if (other !== undefined) {
-      const place = describePlace(other.service, other.suffix);
-      const message = `${placed.route.path} overlaps ${other.route.path} of service "${other.service.value.name}" at ${place}`;
-      report(placed.service, `${placed.suffix}/path`, message, 'Give one of them another path.');
+  for (const declaredRoute of routes) {
+    const candidates = listPrefixes(declaredRoute.route.path).flatMap(
+      (path) => byPath.get(path) ?? [],
+    );
+    const conflictingRoute = candidates.find((candidate) => isConflict(declaredRoute, candidate));
+    if (conflictingRoute !== undefined) {
+      const location = describeLocation(conflictingRoute.service, conflictingRoute.suffix);
+      const message = `${declaredRoute.route.path} overlaps ${conflictingRoute.route.path} of service "${conflictingRoute.service.value.name}" at ${location}`;
+      report(
+        declaredRoute.service,
+        `${declaredRoute.suffix}/path`,
+        message,
+        'Give one of them another path.',
+      );
     }
   }
 }
 
 function indexModels(
-  services: readonly IDeclared<ServiceEntry>[],
-  report: ReportDeclared,
-): Map<string, IDeclared<unknown>> {
-  const index = new Map<string, IDeclared<unknown>>();
+  services: readonly IDeclaredEntry<ServiceEntry>[],
+  report: ReportProblem,
+): Map<string, IDeclaredEntry<unknown>> {
+  const index = new Map<string, IDeclaredEntry<unknown>>();
   for (const service of services) {
     for (const [position, model] of (service.value.models ?? []).entries()) {
       const first = index.get(model);
@@ -189,7 +199,7 @@
         index.set(model, service);
         continue;
       }
-      const message = `model "${model}" is also served at ${describePlace(first)}`;
+      const message = `model "${model}" is also served at ${describeLocation(first)}`;
       const remedy = 'Keep it in one service; a request names only the model.';
       report(service, `/models/${position}`, message, remedy);
     }
@@ -198,9 +208,9 @@
 }
 
 function checkAccount(
-  account: IDeclared<ClientAccountEntry>,
-  services: ReadonlyMap<string, IDeclared<ServiceEntry>>,
-  report: ReportDeclared,
+  account: IDeclaredEntry<ClientAccountEntry>,
+  services: ReadonlyMap<string, IDeclaredEntry<ServiceEntry>>,
+  report: ReportProblem,
 ): void {
   for (const [index, name] of account.value.services.entries()) {
     const service = services.get(name)?.value;
@@ -210,17 +220,17 @@
       report(account, `/services/${index}`, `no file declares service "${name}"`, remedy);
       continue;
     }
-    const output = service.kind === 'model' ? (service.defaultOutputTokens ?? 0) : 0;
-    if (account.value.burstTokens <= output) {
-      const message = `burstTokens does not cover one request to "${name}", which reserves ${output} output tokens by default`;
-      const remedy = `Raise burstTokens above ${output}, or lower defaultOutputTokens of the service.`;
+    const outputTokens = service.kind === 'model' ? (service.defaultOutputTokens ?? 0) : 0;
+    if (account.value.burstTokens <= outputTokens) {
+      const message = `burstTokens does not cover one request to "${name}", which reserves ${outputTokens} output tokens by default`;
+      const remedy = `Raise burstTokens above ${outputTokens}, or lower defaultOutputTokens of the service.`;
       report(account, '/burstTokens', message, remedy);
     }
   }
 }
 
-/** Reports every fault between entries that satisfy the schema. */
-export function checkDeclarations(declarations: IDeclarations, report: ReportDeclared): void {
+/** Reports every inconsistency between entries; each entry must already satisfy the schema. */
+export function checkDeclarations(declarations: IDeclarations, report: ReportProblem): void {
   const { services, clientAccounts, weights } = declarations;
   const serviceIndex = indexByName(services, 'service', (value) => value.name, report);
   indexByName(clientAccounts, 'client account', (value) => value.id, report);
@@ -230,8 +240,8 @@
   for (const service of services) {
     checkServiceKind(service, report);
   }
-  for (const placed of routes) {
-    checkRoute(placed, report);
+  for (const declaredRoute of routes) {
+    checkRoute(declaredRoute, report);
   }
   checkOverlaps(routes, report);
   for (const account of clientAccounts) {
--- a/src/cli/OperatorFiles.test.ts
+++ b/src/cli/OperatorFiles.test.ts
@@ -4,7 +4,11 @@
 import fc from 'fast-check';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { encodeHex } from '../common/Hashes.js';
-import { loadOperatorFiles, type IOperatorItems, type OperatorFailure } from './OperatorFiles.js';
+import {
+  loadOperatorFiles,
+  type IOperatorItems,
+  type OperatorFilesFailure,
+} from './OperatorFiles.js';
 
 let root = '';
 
@@ -18,14 +22,14 @@
   writeFileSync(file, typeof content === 'string' ? content : JSON.stringify(content));
 }
 
-async function load(): Promise<IOperatorItems | OperatorFailure> {
+async function load(): Promise<IOperatorItems | OperatorFilesFailure> {
   return (await loadOperatorFiles([root])).val;
 }
 
-async function loadFailure(): Promise<OperatorFailure> {
+async function loadFailure(): Promise<OperatorFilesFailure> {
   const loaded = await load();
   expect(loaded).toHaveProperty('problems');
-  return loaded as OperatorFailure;
+  return loaded as OperatorFilesFailure;
 }
 
 beforeEach(() => {
@@ -37,7 +41,7 @@
 });
 
 describe('loadOperatorFiles', () => {
-  it('gives one digest however the entries are spread, so that a resend is recognised', async () => {
+  it('computes one digest for any distribution over files, so that a resend is recognised', async () => {
     writeOperatorFile('a', { services: [MODEL], clientAccounts: [ACCOUNT] });
     writeOperatorFile('b', { services: [PLAIN], weights: [{ model: 'large', version: '7' }] });
     const first = (await load()) as IOperatorItems;
@@ -57,7 +61,7 @@
     ]);
   });
 
-  it('gives another digest for other content, so that a changed file is no resend', async () => {
+  it('computes another digest for other content, so that a changed file is no resend', async () => {
     writeOperatorFile('a', { services: [MODEL], clientAccounts: [ACCOUNT] });
     const first = (await load()) as IOperatorItems;
     writeOperatorFile('a', {
@@ -75,7 +79,7 @@
     expect(((await load()) as IOperatorItems).items).toHaveLength(4);
   });
 
-  it('skips links, node_modules and dot folders, so that copies are not published', async () => {
+  it('skips symbolic links, node_modules and dot folders, so that copies are not published', async () => {
     writeOperatorFile('a', { services: [PLAIN] });
     writeOperatorFile('node_modules/x', 'not JSON');
     writeOperatorFile('.cache/x', 'not JSON');
@@ -84,19 +88,19 @@
     expect(((await load()) as IOperatorItems).files).toEqual([join(root, 'a/redwingwharf.json')]);
   });
 
-  it('reads a file once when folders are given twice', async () => {
+  it('reads a file once when its folder is given several times', async () => {
     writeOperatorFile('a', { services: [PLAIN] });
     const loaded = await loadOperatorFiles([root, join(root, 'a'), `${root}/a/../a`]);
     expect(loaded.ok).toBe(true);
   });
 
-  it('refuses folders without files, so that a wrong path prunes nothing', async () => {
+  it('refuses folders without operator files, so that --prune with a wrong path deletes nothing', async () => {
     expect((await loadFailure()).kind).toBe('no_files');
     const missing = await loadOperatorFiles([join(root, 'missing')]);
     expect(missing.val).toMatchObject({ kind: 'bad_files' });
   });
 
-  it('names both places of a duplicate', async () => {
+  it('names both locations of a duplicate', async () => {
     writeOperatorFile('a', { services: [PLAIN] });
     writeOperatorFile('b', { services: [{ ...PLAIN, routes: [{ path: '/other' }] }] });
     const failure = await loadFailure();
@@ -118,7 +122,7 @@
     ['a model service without models', { services: [{ ...MODEL, models: [] }] }, '/services/0'],
     ['a plain service without routes', { services: [{ ...PLAIN, routes: [] }] }, '/services/0'],
     [
-      'an open route that may run once only',
+      'an open route that is non-repeatable',
       {
         services: [{ ...PLAIN, routes: [{ path: '/orders', open: true, nonRepeatable: true }] }],
       },
@@ -139,7 +143,7 @@
       '/services/0/routes/1/path',
     ],
     [
-      'a path of the entry',
+      'a path that the entry reserves',
       { services: [{ ...PLAIN, routes: [{ path: '/v1/models/x' }] }] },
       '/services/0/routes/0/path',
     ],
@@ -164,14 +168,14 @@
       '/clientAccounts/0/tokensPerSecond',
     ],
     ['an unknown property', { service: [] }, '/service'],
-  ])('refuses %s before it reaches the fleet', async (_name, content, pointer) => {
+  ])('refuses %s before it is published', async (_name, content, pointer) => {
     writeOperatorFile('a', content);
     const failure = await loadFailure();
     expect(failure.problems.map((problem) => problem.pointer)).toContain(pointer);
     expect(failure.problems.every((problem) => problem.remedy.endsWith('.'))).toBe(true);
   });
 
-  it('accepts a path per method and nested paths within a service', async () => {
+  it('accepts one path with several methods and nested paths within a service', async () => {
     const routes = [
       { path: '/ledger', methods: ['GET'], open: true },
       { path: '/ledger', methods: ['POST'], nonRepeatable: true },
@@ -185,7 +189,7 @@
     expect(await load()).toHaveProperty('digest');
   });
 
-  it('never throws on arbitrary JSON, so that a bad file is always explained', async () => {
+  it('never throws on arbitrary JSON, so that an invalid file is always explained', async () => {
     const entry = fc.record(
       {
         name: fc.constantFrom('a', 'b', '', 1),
--- a/src/cli/OperatorFiles.ts
+++ b/src/cli/OperatorFiles.ts
@@ -1,4 +1,4 @@
-/** Collects the operator's files and merges them into one set of items. */
+/** Finds the operator files below folders, checks them together and merges them into configuration items. */
 import type { Dirent } from 'node:fs';
 import { readdir } from 'node:fs/promises';
 import { join, resolve } from 'node:path';
@@ -21,55 +21,59 @@
 import { addPosition, readJsonFile, type IJsonFile } from '../settings/JsonFile.js';
 import { formatProblem, type IProblem } from '../settings/Types.js';
 import { digestEdits, ITEM_PREFIX, sortEdits, type IItemEdit } from './Items.js';
-import { checkDeclarations, type IDeclarations, type IDeclared } from './OperatorChecks.js';
+import { checkDeclarations, type IDeclarations, type IDeclaredEntry } from './OperatorChecks.js';
 
 /** Name of the files that declare services, client accounts and weights. */
 export const OPERATOR_FILE_NAME = 'redwingwharf.json';
 
-/** The merged content of all files. */
+/** The merged content of all operator files. */
 export interface IOperatorItems {
   readonly files: readonly string[];
   /** Sorted by key. */
   readonly items: readonly IItemEdit[];
-  /** Digest of the items, independent of how they are spread over files. */
+  /** Digest of the items, independent of how they are distributed over files. */
   readonly digest: Uint8Array;
 }
 
-/** Why files were not merged. The message lists all problems, one a line. */
-export type OperatorFailure = IFailure<'no_files' | 'bad_files'> & {
+/** Why the files were not merged. The message lists all problems, one per line. */
+export type OperatorFilesFailure = IFailure<'no_files' | 'bad_files'> & {
   readonly problems: readonly IProblem[];
 };
 
 type OperatorSource = IJsonFile<OperatorFile>;
 
 function createFailure(
-  kind: OperatorFailure['kind'],
+  kind: OperatorFilesFailure['kind'],
   problems: readonly IProblem[],
-): OperatorFailure {
+): OperatorFilesFailure {
   return { kind, message: problems.map(formatProblem).join('\n'), problems };
 }
 
-function isVisited(entry: Dirent): boolean {
+function isSearchedFolder(entry: Dirent): boolean {
   return entry.isDirectory() && entry.name !== 'node_modules' && !entry.name.startsWith('.');
 }
 
-/** Adds the operator files below a folder. Links are not followed, so that no loop can occur. */
-async function collectFiles(folder: string, files: Set<string>, faults: IProblem[]): Promise<void> {
+/** Adds the operator files below a folder to `files`. Symbolic links are not followed: they can form cycles. */
+async function collectFiles(
+  folder: string,
+  files: Set<string>,
+  problems: IProblem[],
+): Promise<void> {
   let entries: Dirent[];
   try {
     entries = await readdir(folder, { withFileTypes: true });
   } catch (error) {
     const message = `the folder cannot be read (${describeError(error)})`;
     const remedy = 'Check the path and its permissions.';
-    faults.push({ file: folder, pointer: '', message, remedy });
+    problems.push({ file: folder, pointer: '', message, remedy });
     return;
   }
   for (const entry of entries) {
     const path = join(folder, entry.name);
     if (entry.isFile() && entry.name === OPERATOR_FILE_NAME) {
       files.add(path);
-    } else if (isVisited(entry)) {
-      await collectFiles(path, files, faults);
+    } else if (isSearchedFolder(entry)) {
+      await collectFiles(path, files, problems);
     }
   }
 }
@@ -78,7 +82,7 @@
   sources: readonly OperatorSource[],
   section: keyof OperatorFile,
   getEntries: (file: OperatorFile) => readonly T[] | undefined,
-): IDeclared<T>[] {
+): IDeclaredEntry<T>[] {
   return sources.flatMap(({ file, value }) =>
     (getEntries(value) ?? []).map((entry, index) => {
       return { file, pointer: `/${section}/${index}`, value: entry };
@@ -124,7 +128,7 @@
   return toBinary(ServiceSchema, message);
 }
 
-/** Value of the item of a client account; the order of its services doesn't matter. */
+/** Encodes the item of a client account. Services are sorted, so that their order does not change the value. */
 export function encodeClientAccount(account: ClientAccountEntry): Uint8Array {
   const message = create(ClientAccountSchema, {
     id: account.id,
@@ -157,7 +161,7 @@
 
 async function readSources(
   files: readonly string[],
-  faults: IProblem[],
+  problems: IProblem[],
 ): Promise<OperatorSource[]> {
   const sources: OperatorSource[] = [];
   for (const file of files) {
@@ -165,35 +169,35 @@
     if (read.ok) {
       sources.push(read.val);
     } else {
-      faults.push(...read.val.problems);
+      problems.push(...read.val.problems);
     }
   }
   return sources;
 }
 
 /**
- * Reads every `redwingwharf.json` below the folders, checks all of them together and merges them. Links,
- * `node_modules` and folders whose name begins with a dot are skipped.
+ * Reads every `redwingwharf.json` below the folders, checks all of them together and merges them. Symbolic
+ * links, `node_modules` and folders whose name begins with a dot are skipped.
  *
  * @example
  * const loaded = await loadOperatorFiles(['services']);
  */
 export async function loadOperatorFiles(
   folders: readonly string[],
-): Promise<Result<IOperatorItems, OperatorFailure>> {
-  const found = new Set<string>();
-  const faults: IProblem[] = [];
+): Promise<Result<IOperatorItems, OperatorFilesFailure>> {
+  const filePaths = new Set<string>();
+  const readProblems: IProblem[] = [];
   for (const folder of folders) {
-    await collectFiles(resolve(folder), found, faults);
+    await collectFiles(resolve(folder), filePaths, readProblems);
   }
-  const files = [...found].sort();
-  const sources = await readSources(files, faults);
-  if (faults.length > 0) {
-    return Err(createFailure('bad_files', faults));
+  const files = [...filePaths].sort();
+  const sources = await readSources(files, readProblems);
+  if (readProblems.length > 0) {
+    return Err(createFailure('bad_files', readProblems));
   }
   if (files.length === 0) {
     const message = `no ${OPERATOR_FILE_NAME} was found`;
-    const remedy = 'Give the folders that hold the services.';
+    const remedy = 'Pass the folders that contain the files.';
     const file = folders.join(', ');
     return Err(createFailure('no_files', [{ file, pointer: '', message, remedy }]));
   }
--- a/src/cli/Publisher.ts
+++ b/src/cli/Publisher.ts
@@ -1,4 +1,4 @@
-/** Sends versioned changes with compare-and-set. */
+/** Sends changes to the control members. A change is accepted only at the next version (compare-and-set). */
 import { encodeHex, generateIdentifier } from '../common/Hashes.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
 import { addJitter, sleep } from '../common/Tasks.js';
@@ -8,12 +8,12 @@
 import { sortEdits, type IItemEdit } from './Items.js';
 import type { ICommandInput } from './Types.js';
 
-/** Operators seldom race more than once in a row. */
-const MAX_EDIT_TRIES = 6;
+/** A conflict means that another operator's change was accepted first; several in a row are rare. */
+const MAX_EDIT_ATTEMPTS = 6;
 
-const EDIT_PAUSE_MS = 100;
+const EDIT_BACKOFF_MS = 100;
 
-/** One change as it is sent; sending it again repeats no effect. */
+/** One change as it is sent. Sending it again has no further effect, because the operation id identifies it. */
 export interface IChangeInput {
   readonly operationId: string;
   readonly operator: string;
@@ -21,18 +21,18 @@
   readonly edits: readonly IItemEdit[];
 }
 
-/** Another change holds the version. */
+/** Another change was accepted at the version, or the version is not the next one. */
 export type VersionConflict = IFailure<'conflict'> & { readonly details: IConflictDetails };
 
 export interface IConflictDetails {
   readonly version: number;
   readonly currentVersion: number;
-  readonly yours: IChangeContent;
-  /** Absent when the version was never taken, or when its change is no longer on record. */
-  readonly theirs: IChangeContent | undefined;
+  readonly yours: IChangeSummary;
+  /** Undefined when no change has this version, or when its change is no longer recorded. */
+  readonly theirs: IChangeSummary | undefined;
 }
 
-export interface IChangeContent {
+export interface IChangeSummary {
   readonly operator: string;
   readonly operationId: string;
   readonly digest: string;
@@ -40,11 +40,11 @@
 
 export type PublishFailure = VersionConflict | ControlFailure;
 
-/** A change to current items could not be made from them. */
+/** The requested edit is not possible with the current items. */
 export type EditFailure = IFailure<'refused'>;
 
-function formatContent(title: string, content: IChangeContent): string {
-  return `  ${title}: operator ${content.operator}, operation ${content.operationId}, digest ${content.digest}`;
+function formatChangeSummary(title: string, summary: IChangeSummary): string {
+  return `  ${title}: operator ${summary.operator}, operation ${summary.operationId}, digest ${summary.digest}`;
 }
 
 function describeConflict(details: IConflictDetails): string {
@@ -53,11 +53,11 @@
     theirs === undefined
       ? `Version ${version} is not the next one; the current version is ${currentVersion}.`
       : `Version ${version} is taken by another change; the current version is ${currentVersion}.`;
-  const lines = [state, formatContent('yours', yours)];
+  const lines = [state, formatChangeSummary('yours', yours)];
   if (theirs !== undefined) {
-    lines.push(formatContent('taken by', theirs));
+    lines.push(formatChangeSummary('taken by', theirs));
   }
-  lines.push('Your change did not run. Compare the contents, then publish without --version.');
+  lines.push('Your change was not applied. Compare the contents, then publish without --version.');
   return lines.join('\n');
 }
 
@@ -80,22 +80,22 @@
   return { kind: 'conflict', message: describeConflict(details), details };
 }
 
-/** A fresh operation id. */
+/** Generates a random operation id. */
 export function generateOperationId(): string {
   return encodeHex(generateIdentifier());
 }
 
-/** Name under which changes are recorded. */
+/** Operator name that is recorded with a change: `--operator`, else the user name. */
 export function getOperator(input: ICommandInput): string {
   return input.getText('operator') ?? process.env.USER ?? process.env.LOGNAME ?? 'operator';
 }
 
 /**
- * Sends one change. An unknown outcome is retried with the same operation id, which the control state
- * recognises.
+ * Sends one change. After an unknown outcome it is sent again with the same operation id: the control state
+ * recognises the id and does not apply the change twice.
  *
  * @example
- * const done = await publishChange(access, { operationId, operator, version: 8n, edits }, signal);
+ * const result = await publishChange(access, { operationId, operator, version: 8n, edits }, signal);
  */
 export async function publishChange(
   access: IControlAccess,
@@ -104,15 +104,15 @@
 ): Promise<Result<ChangeAccepted, PublishFailure>> {
   const { operationId, operator, version } = change;
   const items = sortEdits(change.edits).map((edit) => ({ ...edit }));
-  const done = await access.execute(
+  const result = await access.execute(
     { case: 'change', value: { operationId, version, operator, items } },
     signal,
     { isIdempotent: true },
   );
-  if (done.err) {
-    return done;
+  if (result.err) {
+    return result;
   }
-  const outcome = done.val.body.case === 'change' ? done.val.body.value.outcome : undefined;
+  const outcome = result.val.body.case === 'change' ? result.val.body.value.outcome : undefined;
   switch (outcome?.case) {
     case 'accepted':
       return Ok(outcome.value);
@@ -125,30 +125,30 @@
   }
 }
 
-/** Edits made from a copy, with what the caller wants to know of them. */
+/** Edits planned from a copy of the items, with a value for the caller of `applyEdits`. */
 export interface IEditPlan<T> {
   readonly edits: readonly IItemEdit[];
   readonly value: T;
 }
 
-export interface IEdited<T> {
+export interface IEditResult<T> {
   readonly value: T;
-  /** Absent when there was nothing to change. */
+  /** Undefined when there was nothing to change. */
   readonly accepted: ChangeAccepted | undefined;
 }
 
 /**
- * Changes current items: reads them, plans the edits and sends them at the next version. When another
- * change takes that version, the plan is made anew; the version then proves that the first one never
- * takes effect.
+ * Changes the current items: reads them, plans the edits and sends them at the next version. After a version
+ * conflict it plans again from newly read items. That is safe: another change has the version, so the first
+ * attempt can never take effect.
  */
 export async function applyEdits<T>(
   access: IControlAccess,
   operator: string,
   plan: (copy: IItemsCopy) => Result<IEditPlan<T>, EditFailure>,
   signal: AbortSignal,
-): Promise<Result<IEdited<T>, PublishFailure | EditFailure>> {
-  for (let tries = 1; ; tries += 1) {
+): Promise<Result<IEditResult<T>, PublishFailure | EditFailure>> {
+  for (let attempt = 1; ; attempt += 1) {
     const copy = await access.readItems(signal);
     if (copy.err) {
       return copy;
@@ -163,13 +163,13 @@
     }
     const version = copy.val.version + 1n;
     const change = { operationId: generateOperationId(), operator, version, edits };
-    const done = await publishChange(access, change, signal);
-    if (done.ok) {
-      return Ok({ value, accepted: done.val });
+    const result = await publishChange(access, change, signal);
+    if (result.ok) {
+      return Ok({ value, accepted: result.val });
     }
-    if (done.val.kind !== 'conflict' || tries >= MAX_EDIT_TRIES) {
-      return done;
+    if (result.val.kind !== 'conflict' || attempt >= MAX_EDIT_ATTEMPTS) {
+      return result;
     }
-    await sleep(addJitter(EDIT_PAUSE_MS * tries), signal);
+    await sleep(addJitter(EDIT_BACKOFF_MS * attempt), signal);
   }
 }
--- a/src/cli/Report.ts
+++ b/src/cli/Report.ts
@@ -1,11 +1,11 @@
-/** Writes results and failures of commands. */
+/** Prints the results and failures of commands. */
 import type { ControlFailure, ControlFailureKind } from '../control/ControlClient.js';
 import type { IFailure } from '../common/Result.js';
 import { EXIT_CODE, type ExitCode, type ICommandContext, type ICommandInput } from './Types.js';
 
-const COLUMN_GAP = '  ';
+const COLUMN_SEPARATOR = '  ';
 
-/** Lines of a table with aligned columns. */
+/** Renders a table with aligned columns, one string per line. */
 export function renderTable(
   header: readonly string[],
   rows: readonly (readonly string[])[],
@@ -17,12 +17,12 @@
   return all.map((row) =>
     row
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
-      .join(COLUMN_GAP)
+      .join(COLUMN_SEPARATOR)
       .trimEnd(),
   );
 }
 
-/** Prints data as one JSON value with --json, else as lines. */
+/** Prints `data` as one JSON value with `--json`, otherwise `lines`. */
 export function printResult(
   input: ICommandInput,
   context: ICommandContext,
@@ -38,7 +38,7 @@
   }
 }
 
-/** Reports a failure on the error output, and with --json also as data. */
+/** Prints a failure to the error output, and with `--json` also as a JSON value to the standard output. */
 export function reportFailure(
   input: ICommandInput,
   context: ICommandContext,
@@ -62,7 +62,7 @@
   refused: EXIT_CODE.refused,
 };
 
-/** Exit code for a command that control did not carry out. */
+/** Exit code for a command that the control members did not execute. */
 export function getControlExitCode(failure: ControlFailure): ExitCode {
   return CONTROL_EXIT_CODE[failure.kind];
 }
--- a/src/cli/Types.ts
+++ b/src/cli/Types.ts
@@ -1,4 +1,4 @@
-/** Interfaces between the commands and what they are given. */
+/** Types shared by the commands: exit codes, options, arguments and the context that a command runs in. */
 import type { IFailure, Result } from '../common/Result.js';
 import type { ILoadedSettings } from '../settings/Types.js';
 
@@ -9,15 +9,15 @@
   refused: 1,
   /** Wrong command, argument or option. */
   usage: 2,
-  /** Another change holds the version. */
+  /** Another change was accepted at the version, or the version is not the next one. */
   conflict: 3,
-  /** Control was not reachable, or the outcome is not known. */
+  /** A process was not reachable, no control member is leader, or the outcome is unknown. */
   unknown: 4,
 } as const;
 
 export type ExitCode = (typeof EXIT_CODE)[keyof typeof EXIT_CODE];
 
-/** Where commands write: results to `print`, everything else to `warn`. */
+/** Output of a command. Results go to `print`, everything else to `warn`. */
 export interface IOutput {
   print(line: string): void;
   warn(line: string): void;
@@ -28,15 +28,15 @@
   run(settings: ILoadedSettings, signal: AbortSignal): Promise<number>;
 }
 
-/** Why a data folder was not initialised. */
+/** Why a data directory was not initialised. */
 export type InitFailure = IFailure<'not_empty' | 'unwritable' | 'no_control_role'>;
 
-/** Makes the disk of a control member the first one of a new cluster; returns the cluster id. */
+/** Initialises the data directory of the first control member of a new cluster; returns the cluster id. */
 export interface IInitialiser {
   init(settings: ILoadedSettings): Promise<Result<string, InitFailure>>;
 }
 
-/** What commands are given besides their arguments. */
+/** Output, abort signal and role functions that a command is run with. */
 export interface ICommandContext {
   readonly output: IOutput;
   readonly signal: AbortSignal;
@@ -44,7 +44,10 @@
   readonly initialiser: IInitialiser;
 }
 
-/** Form of an option's value. */
+/**
+ * Kind of an option's value: `addresses` and `names` are comma-separated lists, `count` is a whole number that
+ * is not negative, and a `flag` has no value.
+ */
 export type OptionKind = 'text' | 'addresses' | 'names' | 'count' | 'number' | 'flag';
 
 export interface IOptionSpec {
@@ -54,11 +57,11 @@
   readonly isRequired?: boolean;
 }
 
-/** Arguments of a command, checked against its options. */
+/** Arguments of a command, validated against its options. */
 export interface ICommandInput {
   readonly positionals: readonly string[];
   getText(name: string): string | undefined;
-  /** Comma-separated values; empty when absent. */
+  /** Values of a comma-separated option; empty if it was not given. */
   getList(name: string): readonly string[];
   getNumber(name: string): number | undefined;
   hasFlag(name: string): boolean;
@@ -66,9 +69,12 @@
 
 export type CommandHandler = (input: ICommandInput, context: ICommandContext) => Promise<number>;
 
-/** One command. Its module is loaded only when it runs. */
+/** Specification of one command. The module of its handler is loaded only when the command runs. */
 export interface ICommandSpec {
-  /** Words of the command, then `<argument>` or `[argument]` for each positional; `[...arguments]` takes any number. */
+  /**
+   * Words of the command, then `<argument>` for each required and `[argument]` for each optional positional
+   * argument; `[...arguments]` accepts any number.
+   */
   readonly usage: string;
   readonly summary: string;
   readonly options: readonly IOptionSpec[];
--- a/src/cli/commands/Account.ts
+++ b/src/cli/commands/Account.ts
@@ -1,4 +1,4 @@
-/** `account create`, `account delete` and `account list`. */
+/** Commands `account create`, `account delete` and `account list`. */
 import { Err, Ok, type Result } from '../../common/Result.js';
 import { hasSameBytes } from '../../common/Hashes.js';
 import { OPERATOR_SCHEMA, type ClientAccountEntry, type OperatorFile } from '../../gen/operator.js';
@@ -19,10 +19,10 @@
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from '../Types.js';
 import { createWithdrawal } from './Key.js';
 
-const ENTRY_POINTER = '/clientAccounts/0';
+const ACCOUNT_POINTER = '/clientAccounts/0';
 
-/** Options that stand for the properties of an operator file. */
-const OPTION_NAMES: Readonly<Record<string, string>> = {
+/** Names of the options in messages, by the JSON pointer of the property that they set in an operator file. */
+const OPTION_BY_POINTER: Readonly<Record<string, string>> = {
   '/id': 'the account id',
   '/tokensPerSecond': '--rate',
   '/burstTokens': '--burst',
@@ -34,13 +34,13 @@
   return Err({ kind: 'refused', message });
 }
 
-function namePlace(pointer: string): string {
-  const suffix = pointer.slice(ENTRY_POINTER.length);
-  const option = Object.keys(OPTION_NAMES).find((name) => suffix.startsWith(name));
-  return option === undefined ? suffix : (OPTION_NAMES[option] ?? suffix);
+function nameOption(pointer: string): string {
+  const suffix = pointer.slice(ACCOUNT_POINTER.length);
+  const propertyPointer = Object.keys(OPTION_BY_POINTER).find((name) => suffix.startsWith(name));
+  return propertyPointer === undefined ? suffix : (OPTION_BY_POINTER[propertyPointer] ?? suffix);
 }
 
-/** The account that the options describe, checked like an entry of an operator file. */
+/** Builds the client account from the options and validates it like an entry of an operator file. */
 async function parseAccount(input: ICommandInput): Promise<Result<ClientAccountEntry, string>> {
   const priority = input.getNumber('priority');
   const entry = {
@@ -53,23 +53,23 @@
   const checked = await checkSchema<OperatorFile>(OPERATOR_SCHEMA, { clientAccounts: [entry] });
   if (checked.err) {
     const lines = checked.val.map(
-      ({ pointer, message, remedy }) => `${namePlace(pointer)}: ${message}. ${remedy}`,
+      ({ pointer, message, remedy }) => `${nameOption(pointer)}: ${message}. ${remedy}`,
     );
     return Err(lines.join('\n'));
   }
   return Ok(checked.val.clientAccounts?.[0] ?? (entry as ClientAccountEntry));
 }
 
-/** Explains why the fleet's services don't fit the account, or returns undefined. */
+/** Returns why the account cannot use one of its services, or undefined if it can use them all. */
 function explainBadServices(copy: IItemsCopy, account: ClientAccountEntry): string | undefined {
   for (const name of account.services) {
     const service = decodeItem(copy, ITEM_PREFIX.service + name, ServiceSchema);
     if (service === undefined) {
       return `There is no service "${name}". Publish it first, or correct --services.`;
     }
-    const output = service.kind === ServiceKind.MODEL ? service.defaultOutputTokens : 0;
-    if (account.burstTokens <= output) {
-      return `--burst does not cover one request to "${name}", which reserves ${output} output tokens by default. Raise it above ${output}.`;
+    const outputTokens = service.kind === ServiceKind.MODEL ? service.defaultOutputTokens : 0;
+    if (account.burstTokens <= outputTokens) {
+      return `--burst does not cover one request to "${name}", which reserves ${outputTokens} output tokens by default. Raise it above ${outputTokens}.`;
     }
   }
   return undefined;
@@ -80,9 +80,9 @@
   account: ClientAccountEntry,
   mayReplace: boolean,
 ): Result<IEditPlan<undefined>, EditFailure> {
-  const fault = explainBadServices(copy, account);
-  if (fault !== undefined) {
-    return refuse(fault);
+  const reason = explainBadServices(copy, account);
+  if (reason !== undefined) {
+    return refuse(reason);
   }
   const key = ITEM_PREFIX.clientAccount + account.id;
   const value = encodeClientAccount(account);
@@ -110,16 +110,16 @@
   }
   const account = parsed.val;
   return useControl(input, context, async (access) => {
-    const done = await applyEdits(
+    const result = await applyEdits(
       access,
       getOperator(input),
       (copy) => planCreation(copy, account, input.hasFlag('replace')),
       context.signal,
     );
-    if (done.err) {
-      return reportEditFailure(input, context, done.val);
+    if (result.err) {
+      return reportEditFailure(input, context, result.val);
     }
-    const { accepted } = done.val;
+    const { accepted } = result.val;
     const state = accepted === undefined ? 'exists with these values' : 'stored';
     printResult(input, context, { ...account, changed: accepted !== undefined }, [
       `client account ${account.id} ${state}`,
@@ -128,7 +128,7 @@
   });
 }
 
-/** Deletes the account and withdraws its keys, which would otherwise work for a later account. */
+/** Plans to delete an account and withdraw its keys, which would otherwise work for a later account. */
 function planDeletion(copy: IItemsCopy, id: string): Result<IEditPlan<string[]>, EditFailure> {
   const key = ITEM_PREFIX.clientAccount + id;
   const records = decodeItems(copy, ITEM_PREFIX.key, CallerKeySchema)
@@ -149,16 +149,16 @@
 ): Promise<number> {
   const id = input.positionals[0] ?? '';
   return useControl(input, context, async (access) => {
-    const done = await applyEdits(
+    const result = await applyEdits(
       access,
       getOperator(input),
       (copy) => planDeletion(copy, id),
       context.signal,
     );
-    if (done.err) {
-      return reportEditFailure(input, context, done.val);
+    if (result.err) {
+      return reportEditFailure(input, context, result.val);
     }
-    const withdrawnKeys = done.val.value;
+    const withdrawnKeys = result.val.value;
     printResult(input, context, { id, deleted: true, withdrawnKeys }, [
       `client account ${id} deleted, ${withdrawnKeys.length} keys withdrawn`,
     ]);
@@ -181,8 +181,8 @@
       .filter((record) => !record.withdrawn);
     const accounts = decodeItems(copy.val, ITEM_PREFIX.clientAccount, ClientAccountSchema).map(
       ({ value: { id, tokensPerSecond, burstTokens, services, priority } }) => {
-        const keys = activeKeys.filter((record) => record.clientAccount === id).length;
-        return { id, tokensPerSecond, burstTokens, services, priority, activeKeys: keys };
+        const keyCount = activeKeys.filter((record) => record.clientAccount === id).length;
+        return { id, tokensPerSecond, burstTokens, services, priority, activeKeys: keyCount };
       },
     );
     const header = ['CLIENT ACCOUNT', 'TOKENS/S', 'BURST', 'PRIORITY', 'KEYS', 'SERVICES'];
--- a/src/cli/commands/Check.ts
+++ b/src/cli/commands/Check.ts
@@ -1,4 +1,4 @@
-/** `check`: validates the operator's files without any connection. */
+/** Command `check`: validates the operator files without any connection. */
 import { encodeHex } from '../../common/Hashes.js';
 import { loadOperatorFiles } from '../OperatorFiles.js';
 import { printResult, reportFailure } from '../Report.js';
--- a/src/cli/commands/Drain.ts
+++ b/src/cli/commands/Drain.ts
@@ -1,4 +1,4 @@
-/** `drain`: takes entries or targets out of service without interrupting requests. */
+/** Command `drain`: takes entries or targets out of service without interrupting requests. */
 import type { RpcClients } from '../../common/Rpc.js';
 import { limitSignal } from '../../common/Tasks.js';
 import { RosterService, SidecarService } from '../../gen/redwingwharf/v1/control_pb.js';
@@ -23,7 +23,7 @@
   return response.openRequests;
 }
 
-/** Starts draining at each address. Draining twice is harmless. */
+/** Starts draining each process and prints its open requests. Draining it again has no further effect. */
 export async function drainProcesses(
   input: ICommandInput,
   context: ICommandContext,
@@ -50,7 +50,11 @@
         exitCode = getControlExitCode(failure);
       }
     }
-    const rows = drained.map((done) => [done.role, done.address, String(done.openRequests)]);
+    const rows = drained.map((drainedProcess) => [
+      drainedProcess.role,
+      drainedProcess.address,
+      String(drainedProcess.openRequests),
+    ]);
     const lines = renderTable(['ROLE', 'ADDRESS', 'OPEN REQUESTS'], rows);
     printResult(input, context, { drained }, drained.length === 0 ? [] : lines);
     return exitCode;
--- a/src/cli/commands/Explain.ts
+++ b/src/cli/commands/Explain.ts
@@ -1,4 +1,4 @@
-/** `explain`: decision records of one request. */
+/** Command `explain`: shows the decision records of one request. */
 import { limitSignal } from '../../common/Tasks.js';
 import { RosterService } from '../../gen/redwingwharf/v1/control_pb.js';
 import { describeReadError, getTimeoutMs, useClients } from '../ControlAccess.js';
@@ -18,7 +18,7 @@
   }
 }
 
-/** Asks all entries, because a request may have been resent to another one. */
+/** Reads the records of all given entries, because a request may have been resent to another entry. */
 export async function explainRequest(
   input: ICommandInput,
   context: ICommandContext,
@@ -26,26 +26,26 @@
   const requestId = input.positionals[0] ?? '';
   return useClients(input, context, async (clients) => {
     const signal = limitSignal(context.signal, getTimeoutMs(input));
-    let missing = 0;
+    let unansweredCount = 0;
     const fetchOne = async (entry: string): Promise<IEntryRecords> => {
       try {
         const client = clients.get(RosterService, entry);
         const { records } = await client.explain({ requestId }, { signal });
         return { entry, records };
       } catch (error) {
-        missing += 1;
+        unansweredCount += 1;
         context.output.warn(describeReadError(entry, error).message);
         return { entry, records: [] };
       }
     };
-    const found = await Promise.all(input.getList('entries').map(fetchOne));
-    const records = found.flatMap(({ entry, records: texts }) =>
+    const entryRecords = await Promise.all(input.getList('entries').map(fetchOne));
+    const records = entryRecords.flatMap(({ entry, records: texts }) =>
       texts.map((text) => ({ entry, text })),
     );
     if (records.length === 0) {
       const message = `No entry that answered has a record of request ${requestId}. Entries keep records for a short time; search their logs.`;
       reportFailure(input, context, { kind: 'no_record', message });
-      return missing > 0 ? EXIT_CODE.unknown : EXIT_CODE.refused;
+      return unansweredCount > 0 ? EXIT_CODE.unknown : EXIT_CODE.refused;
     }
     const data = records.map(({ entry, text }) => ({ entry, record: parseRecord(text) }));
     printResult(
--- a/src/cli/commands/Init.ts
+++ b/src/cli/commands/Init.ts
@@ -1,10 +1,10 @@
-/** `init`: makes the disk of a control member the first one of a new cluster. */
+/** Command `init`: initialises the data directory of the first control member of a new cluster. */
 import { loadSettings } from '../../settings/SettingsLoader.js';
 import { printResult, reportFailure } from '../Report.js';
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from '../Types.js';
 
-/** Initialises the data folder that the settings name. */
-export async function initialiseFolder(
+/** Initialises the data directory that `dataFolder` names in the settings. */
+export async function initialiseDataDirectory(
   input: ICommandInput,
   context: ICommandContext,
 ): Promise<number> {
@@ -13,12 +13,12 @@
     reportFailure(input, context, loaded.val, { problems: loaded.val.problems });
     return EXIT_CODE.refused;
   }
-  const done = await context.initialiser.init(loaded.val);
-  if (done.err) {
-    reportFailure(input, context, done.val);
+  const result = await context.initialiser.init(loaded.val);
+  if (result.err) {
+    reportFailure(input, context, result.val);
     return EXIT_CODE.refused;
   }
-  const clusterId = done.val;
+  const clusterId = result.val;
   const dataFolder = loaded.val.control?.dataFolder ?? '';
   printResult(input, context, { dataFolder, clusterId }, [
     `${dataFolder} is the first member of cluster ${clusterId}`,
--- a/src/cli/commands/Key.ts
+++ b/src/cli/commands/Key.ts
@@ -1,4 +1,4 @@
-/** `key give`, `key withdraw` and `key list`. */
+/** Commands `key give`, `key withdraw` and `key list`. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import { createCallerKey, isKeyId, type ICreatedCallerKey } from '../../common/CallerKeys.js';
 import { Err, Ok, type Result } from '../../common/Result.js';
@@ -15,18 +15,18 @@
   return Err({ kind: 'refused', message });
 }
 
-/** Edit that stores the record of a key. */
+/** Creates the edit that stores the record of a key. */
 function createKeyEdit(record: CallerKey): IItemEdit {
   const value = toBinary(CallerKeySchema, record);
   return { key: ITEM_PREFIX.key + record.keyId, value, delete: false };
 }
 
-/** Edit that keeps the record of a key as withdrawn, so that the key id is never given again. */
+/** Creates the edit that marks a key as withdrawn; its record stays, so that its id is never issued again. */
 export function createWithdrawal(record: CallerKey): IItemEdit {
   return createKeyEdit(create(CallerKeySchema, { ...record, withdrawn: true }));
 }
 
-function planGift(
+function planKeyCreation(
   copy: IItemsCopy,
   account: string,
   key: ICreatedCallerKey,
@@ -37,31 +37,31 @@
     );
   }
   if (copy.items.has(ITEM_PREFIX.key + key.record.keyId)) {
-    return refuse('The random key id is taken. Run the command again.');
+    return refuse('The generated key id is already in use. Run the command again.');
   }
   return Ok({ edits: [createKeyEdit(key.record)], value: undefined });
 }
 
-/** Issues a key for a client account; its text appears only here. */
+/** Issues a key for a client account and prints its text, which is stored nowhere. */
 export async function giveKey(input: ICommandInput, context: ICommandContext): Promise<number> {
   const account = input.positionals[0] ?? '';
   const key = createCallerKey(account);
   const { keyId } = key.record;
   return useControl(input, context, async (access) => {
-    const done = await applyEdits(
+    const result = await applyEdits(
       access,
       getOperator(input),
-      (copy) => planGift(copy, account, key),
+      (copy) => planKeyCreation(copy, account, key),
       context.signal,
     );
-    if (done.err) {
-      if (done.val.kind === 'indeterminate') {
-        // The text is withheld: a key that nobody has is harmless until it is withdrawn.
+    if (result.err) {
+      if (result.val.kind === 'indeterminate') {
+        // The text is not printed: a stored key that nobody knows is harmless until it is withdrawn.
         context.output.warn(
-          `key ${keyId} may have been stored; its text is not shown. Run "redwingwharf key withdraw ${keyId}" when control answers, then give a new key.`,
+          `key ${keyId} may have been stored; its text is not shown. Run "redwingwharf key withdraw ${keyId}" when the control members are reachable, then issue a new key.`,
         );
       }
-      return reportEditFailure(input, context, done.val);
+      return reportEditFailure(input, context, result.val);
     }
     context.output.warn(`key ${keyId} is shown only once; hand it to the caller`);
     printResult(input, context, { keyId, clientAccount: account, key: key.text }, [key.text]);
@@ -80,7 +80,7 @@
   return Ok({ edits: record.withdrawn ? [] : [createWithdrawal(record)], value: record });
 }
 
-/** Withdraws a key. Withdrawing it again is no failure. */
+/** Withdraws a key. Succeeds if the key is already withdrawn. */
 export async function withdrawKey(input: ICommandInput, context: ICommandContext): Promise<number> {
   const keyId = input.positionals[0] ?? '';
   if (!isKeyId(keyId)) {
@@ -90,17 +90,17 @@
     return EXIT_CODE.usage;
   }
   return useControl(input, context, async (access) => {
-    const done = await applyEdits(
+    const result = await applyEdits(
       access,
       getOperator(input),
       (copy) => planWithdrawal(copy, keyId),
       context.signal,
     );
-    if (done.err) {
-      return reportEditFailure(input, context, done.val);
+    if (result.err) {
+      return reportEditFailure(input, context, result.val);
     }
-    const { clientAccount } = done.val.value;
-    const wasWithdrawn = done.val.accepted === undefined;
+    const { clientAccount } = result.val.value;
+    const wasWithdrawn = result.val.accepted === undefined;
     const state = wasWithdrawn
       ? 'was withdrawn before'
       : 'withdrawn; it stops working within seconds';
--- a/src/cli/commands/Publish.ts
+++ b/src/cli/commands/Publish.ts
@@ -1,4 +1,4 @@
-/** `publish`: sends the content of the operator's files as one versioned change. */
+/** Command `publish`: sends the content of the operator files as one versioned change. */
 import { encodeHex } from '../../common/Hashes.js';
 import { Err, Ok, type Result } from '../../common/Result.js';
 import type { ControlFailure } from '../../control/ControlClient.js';
@@ -29,14 +29,14 @@
   return { key, value: new Uint8Array(), delete: true };
 }
 
-/** Current items that no file declares. Keys belong to no file and are kept. */
+/** Lists the current items that no file declares. Caller keys are in no file; they are kept. */
 function listUndeclared(copy: IItemsCopy, edits: readonly IItemEdit[]): string[] {
   const declared = new Set(edits.map((edit) => edit.key));
   return [...copy.items.keys()].filter((key) => isDeclarable(key) && !declared.has(key)).sort();
 }
 
-/** Warns of keys that would work again if a deleted account were created anew. */
-function noteActiveKeys(
+/** Warns of active keys of deleted accounts: they would work again if the account were created again. */
+function reportActiveKeys(
   context: ICommandContext,
   copy: IItemsCopy,
   deleted: readonly string[],
@@ -50,7 +50,7 @@
   }
 }
 
-/** Explains deletions that cannot be sent, or returns undefined. */
+/** Returns why one of the `--delete` keys is not allowed, or undefined if all are. */
 function explainBadDeletions(
   deletions: readonly string[],
   items: readonly IItemEdit[],
@@ -66,37 +66,40 @@
   return undefined;
 }
 
-/** Completes the change from the current items where the command line leaves something open. */
+/**
+ * Determines the version and the edits of the change. Reads the current items if no version was given, and for
+ * `--prune`.
+ */
 async function prepareChange(
   input: ICommandInput,
   context: ICommandContext,
   access: IControlAccess,
   edits: readonly IItemEdit[],
 ): Promise<Result<Pick<IChangeInput, 'version' | 'edits'>, ControlFailure>> {
-  const given = input.getNumber('set-version');
+  const givenVersion = input.getNumber('set-version');
   const isPruning = input.hasFlag('prune');
-  if (given !== undefined && !isPruning) {
-    return Ok({ version: BigInt(given), edits });
+  if (givenVersion !== undefined && !isPruning) {
+    return Ok({ version: BigInt(givenVersion), edits });
   }
   const copy = await access.readItems(context.signal);
   if (copy.err) {
     return copy;
   }
-  const next = copy.val.version + 1n;
+  const nextVersion = copy.val.version + 1n;
   if (!isPruning) {
-    return Ok({ version: next, edits });
+    return Ok({ version: nextVersion, edits });
   }
-  if (given !== undefined && BigInt(given) !== next) {
-    // Deletions are found in the current items; at another version they would be other ones.
-    const message = `--prune compares with the current version ${copy.val.version}, so the next version is ${next}. To repeat a change, use the --delete list that was printed with it.`;
+  if (givenVersion !== undefined && BigInt(givenVersion) !== nextVersion) {
+    // `--prune` derives the deletions from the current items, so they are valid only for the next version.
+    const message = `--prune compares with the current version ${copy.val.version}, so the next version is ${nextVersion}. To repeat a change, use the --delete list that was printed with it.`;
     return Err({ kind: 'refused', message });
   }
   const undeclared = listUndeclared(copy.val, edits);
-  noteActiveKeys(context, copy.val, undeclared);
-  return Ok({ version: next, edits: [...edits, ...undeclared.map(createDeletion)] });
+  reportActiveKeys(context, copy.val, undeclared);
+  return Ok({ version: nextVersion, edits: [...edits, ...undeclared.map(createDeletion)] });
 }
 
-/** Printed before the change is sent, so that it can be repeated when no answer comes. */
+/** Prints the options that repeat a change, before it is sent: its answer may be lost. */
 function printRepeatHint(context: ICommandContext, change: IChangeInput): void {
   const deleted = change.edits.filter((edit) => edit.delete).map((edit) => edit.key);
   const deletions = deleted.length === 0 ? '' : ` --delete ${deleted.join(',')}`;
@@ -113,22 +116,22 @@
 ): Promise<number> {
   const operationId = input.getText('operation-id') ?? generateOperationId();
   context.output.warn(`operation id ${operationId}`);
-  const completed = await prepareChange(input, context, access, edits);
-  if (completed.err) {
-    return reportControlFailure(input, context, completed.val);
+  const prepared = await prepareChange(input, context, access, edits);
+  if (prepared.err) {
+    return reportControlFailure(input, context, prepared.val);
   }
-  const change: IChangeInput = { operationId, operator: getOperator(input), ...completed.val };
+  const change: IChangeInput = { operationId, operator: getOperator(input), ...prepared.val };
   printRepeatHint(context, change);
-  const done = await publishChange(access, change, context.signal);
-  if (done.err) {
-    if (done.val.kind === 'conflict') {
-      reportFailure(input, context, done.val, { ...done.val.details });
+  const result = await publishChange(access, change, context.signal);
+  if (result.err) {
+    if (result.val.kind === 'conflict') {
+      reportFailure(input, context, result.val, { ...result.val.details });
       return EXIT_CODE.conflict;
     }
-    return reportControlFailure(input, context, done.val);
+    return reportControlFailure(input, context, result.val);
   }
-  const { replayed } = done.val;
-  const [version, revision] = [Number(done.val.version), Number(done.val.revision)];
+  const { replayed } = result.val;
+  const [version, revision] = [Number(result.val.version), Number(result.val.revision)];
   const deleted = change.edits.filter((edit) => edit.delete).map((edit) => edit.key);
   const digest = encodeHex(digestEdits(change.edits));
   const items = change.edits.length - deleted.length;
@@ -141,7 +144,7 @@
   return EXIT_CODE.ok;
 }
 
-/** Checks the files and publishes them. */
+/** Validates the operator files and publishes them as one change. */
 export async function publishFiles(
   input: ICommandInput,
   context: ICommandContext,
@@ -152,9 +155,9 @@
     return EXIT_CODE.refused;
   }
   const deletions = [...new Set(input.getList('delete'))];
-  const fault = explainBadDeletions(deletions, loaded.val.items);
-  if (fault !== undefined) {
-    reportFailure(input, context, { kind: 'bad_deletion', message: fault });
+  const reason = explainBadDeletions(deletions, loaded.val.items);
+  if (reason !== undefined) {
+    reportFailure(input, context, { kind: 'bad_deletion', message: reason });
     return EXIT_CODE.refused;
   }
   const edits = [...loaded.val.items, ...deletions.map(createDeletion)];
--- a/src/cli/commands/Run.ts
+++ b/src/cli/commands/Run.ts
@@ -1,9 +1,9 @@
-/** `run`: runs the roles of a settings file. */
+/** Command `run`: runs the roles of a settings file. */
 import { loadSettings } from '../../settings/SettingsLoader.js';
 import { reportFailure } from '../Report.js';
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from '../Types.js';
 
-/** Loads the settings completely before any role starts. */
+/** Loads and validates the whole settings file, then runs its roles until the process is stopped. */
 export async function runRoles(input: ICommandInput, context: ICommandContext): Promise<number> {
   const loaded = await loadSettings(input.getText('settings') ?? '');
   if (loaded.err) {
--- a/src/cli/commands/Status.ts
+++ b/src/cli/commands/Status.ts
@@ -1,4 +1,4 @@
-/** `status`: control members and entries at a glance. */
+/** Command `status`: shows the control members, the entries and the targets that each entry knows. */
 import type { RpcClients } from '../../common/Rpc.js';
 import { Err, Ok, type Result } from '../../common/Result.js';
 import { encodeHex } from '../../common/Hashes.js';
@@ -89,12 +89,14 @@
     leaderAddress: member.leaderAddress,
     diskId: encodeHex(member.diskId),
     clusterId: encodeHex(member.clusterId),
-    members: (member.membership?.members ?? []).map(({ id, diskId, address: at, voter }) => ({
-      id,
-      diskId: encodeHex(diskId),
-      address: at,
-      voter,
-    })),
+    members: (member.membership?.members ?? []).map(
+      ({ id, diskId, address: memberAddress, voter }) => ({
+        id,
+        diskId: encodeHex(diskId),
+        address: memberAddress,
+        voter,
+      }),
+    ),
   };
 }
 
@@ -151,11 +153,11 @@
   };
 }
 
-function nameState(isDraining: boolean, isUsable: boolean): string {
+function nameState(isDraining: boolean, isReady: boolean): string {
   if (isDraining) {
     return 'draining';
   }
-  return isUsable ? 'ready' : 'not ready';
+  return isReady ? 'ready' : 'not ready';
 }
 
 function renderEntry({ address, status }: IEntryStatus): string[] {
@@ -193,21 +195,21 @@
   ]);
 }
 
-function chooseExitCode(answers: readonly (IMemberStatus | IEntryStatus)[]): number {
-  const failures = answers.flatMap(({ status }) => (status.err ? [status.val.kind] : []));
-  if (failures.length < answers.length) {
+function chooseExitCode(statuses: readonly (IMemberStatus | IEntryStatus)[]): number {
+  const failures = statuses.flatMap(({ status }) => (status.err ? [status.val.kind] : []));
+  if (failures.length < statuses.length) {
     return EXIT_CODE.ok;
   }
   return failures.includes('forbidden') ? EXIT_CODE.refused : EXIT_CODE.unknown;
 }
 
-/** Shows every address that was asked; one that doesn't answer is shown as such. */
+/** Prints one row for every given address; a process that does not answer is shown with the reason. */
 export async function showStatus(input: ICommandInput, context: ICommandContext): Promise<number> {
   return useClients(input, context, async (clients) => {
-    const limit = limitSignal(context.signal, getTimeoutMs(input));
+    const signal = limitSignal(context.signal, getTimeoutMs(input));
     const [members, entries] = await Promise.all([
-      fetchMemberStatus(clients, input.getList('control'), limit),
-      fetchEntryStatus(clients, input.getList('entries'), limit),
+      fetchMemberStatus(clients, input.getList('control'), signal),
+      fetchEntryStatus(clients, input.getList('entries'), signal),
     ]);
     const data = { control: members.map(convertMember), entries: entries.map(convertEntry) };
     const lines = renderTable(MEMBER_HEADER, members.map(renderMember));
