--- a/src/settings/JsonFile.ts
+++ b/src/settings/JsonFile.ts
@@ -1,12 +1,12 @@
-/** Reads a JSON file that a person wrote and checks it against its schema. */
+/** Reads JSON files that people write and validates them against a schema. */
 import { readFile, stat } from 'node:fs/promises';
 import { describeError } from '../common/Log.js';
 import { Err, Ok, type Result } from '../common/Result.js';
-import { findPointer, parseJson } from './JsonText.js';
+import { findPointerPosition, parseJson } from './JsonText.js';
 import { checkSchema, type ISchemaProblem } from './SchemaCheck.js';
 import type { IProblem } from './Types.js';
 
-/** Largest file that is read; real ones take a few kilobytes. */
+/** A larger file is refused as the wrong file; settings and operator files have a few kilobytes. */
 const MAX_FILE_BYTES = 1024 * 1024;
 
 export interface IJsonFile<T> {
@@ -20,9 +20,9 @@
   readonly problems: readonly IProblem[];
 }
 
-/** Problem at a pointer of a file, with its line. */
+/** Adds the file and the position of the faulty value to a problem; without a position if it is not found. */
 export function addPosition(file: string, text: string, problem: ISchemaProblem): IProblem {
-  const position = findPointer(text, problem.pointer);
+  const position = findPointerPosition(text, problem.pointer);
   return { file, ...problem, line: position?.line, column: position?.column };
 }
 
@@ -41,7 +41,7 @@
 }
 
 /**
- * Reads, parses and checks a JSON file; defaults of the schema are applied.
+ * Reads, parses and validates a JSON file and applies the defaults of the schema.
  *
  * @example
  * const loaded = await readJsonFile<Settings>('entry.json', SETTINGS_SCHEMA);
--- a/src/settings/JsonText.ts
+++ b/src/settings/JsonText.ts
@@ -1,4 +1,4 @@
-/** JSON texts with the positions that error messages need. */
+/** Finds line and column of syntax errors and of values in JSON texts, for error messages. */
 import { Err, Ok, type Result } from '../common/Result.js';
 
 /** Line and column, both counted from 1. */
@@ -7,29 +7,29 @@
   readonly column: number;
 }
 
-/** Why a text is not JSON. */
-export interface IJsonFault extends ITextPosition {
+/** First syntax error of a text that is not JSON. */
+export interface IJsonSyntaxError extends ITextPosition {
   readonly message: string;
 }
 
-interface ILevel {
+interface INestingLevel {
   readonly isArray: boolean;
   segment: string;
   index: number;
-  needsKey: boolean;
+  expectsKey: boolean;
 }
 
 const TOKEN_PATTERN = /"(?:[^"\\]|\\.)*"|[{}[\],:]|[^\s{}[\],:"]+/g;
 const POSITION_PATTERN = /at position (\d+)/;
 
-function findPosition(text: string, offset: number): ITextPosition {
+function getTextPosition(text: string, offset: number): ITextPosition {
   const before = text.slice(0, offset);
   const lineStart = before.lastIndexOf('\n') + 1;
   return { line: before.split('\n').length, column: offset - lineStart + 1 };
 }
 
-/** Parser's message for a text, or undefined when it is JSON. */
-function readFault(text: string): string | undefined {
+/** Returns the message of the JSON parser for a text, or undefined if the text is valid. */
+function getParseError(text: string): string | undefined {
   try {
     JSON.parse(text);
     return undefined;
@@ -38,70 +38,70 @@
   }
 }
 
-/** True when some continuation of the text may still be JSON. */
+/** Returns whether the text may be the beginning of a valid JSON text. */
 function canContinue(text: string): boolean {
-  const fault = readFault(text);
-  if (fault === undefined || fault.startsWith('Unexpected end')) {
+  const message = getParseError(text);
+  if (message === undefined || message.startsWith('Unexpected end')) {
     return true;
   }
-  const position = POSITION_PATTERN.exec(fault)?.[1];
+  const position = POSITION_PATTERN.exec(message)?.[1];
   return position !== undefined && Number(position) >= text.length;
 }
 
 /**
- * Offset of the first character that makes the text invalid. Not every message of the parser names the
- * position, so the longest prefix that can still continue is found by bisection.
+ * Offset of the first character that makes the text invalid. Not every message of the parser contains the
+ * position, so a binary search finds the longest prefix that a valid text can begin with.
  */
-function findFaultOffset(text: string): number {
-  let good = 0;
-  let bad = text.length + 1;
-  while (bad - good > 1) {
-    const middle = Math.floor((good + bad) / 2);
+function findErrorOffset(text: string): number {
+  let validLength = 0;
+  let invalidLength = text.length + 1;
+  while (invalidLength - validLength > 1) {
+    const middle = Math.floor((validLength + invalidLength) / 2);
     if (canContinue(text.slice(0, middle))) {
-      good = middle;
+      validLength = middle;
     } else {
-      bad = middle;
+      invalidLength = middle;
     }
   }
-  return good;
+  return validLength;
 }
 
 /**
- * Parses JSON; a failure carries line and column.
+ * Parses JSON; the error contains the line and column of the first invalid character.
  *
  * @example
  * const parsed = parseJson('{"a": 1,}');
  * // parsed.val.line === 1, parsed.val.column === 9
  */
-export function parseJson(text: string): Result<unknown, IJsonFault> {
+export function parseJson(text: string): Result<unknown, IJsonSyntaxError> {
   try {
     return Ok(JSON.parse(text) as unknown);
   } catch {
-    const offset = findFaultOffset(text);
-    const message = offset >= text.length ? 'the text ends early' : 'unexpected character';
-    return Err({ message, ...findPosition(text, offset) });
+    const offset = findErrorOffset(text);
+    const message = offset >= text.length ? 'unexpected end of text' : 'unexpected character';
+    return Err({ message, ...getTextPosition(text, offset) });
   }
 }
 
-/** Path of a JSON pointer, decoded. */
+/** Splits a JSON pointer into its decoded segments. */
 function splitPointer(pointer: string): string[] {
   const parts = pointer.split('/').slice(1);
   return parts.map((part) => part.replaceAll('~1', '/').replaceAll('~0', '~'));
 }
 
-/** One segment of a JSON pointer, encoded. */
+/** Encodes one segment of a JSON pointer. */
 export function encodePointerSegment(segment: string): string {
   return segment.replaceAll('~', '~0').replaceAll('/', '~1');
 }
 
-function isAtPath(levels: readonly ILevel[], path: readonly string[]): boolean {
+function isAtPath(levels: readonly INestingLevel[], path: readonly string[]): boolean {
   return (
     levels.length === path.length && levels.every((level, index) => level.segment === path[index])
   );
 }
 
-/** Follows one token; true when it starts the value or key at the path. */
-function visitToken(token: string, levels: ILevel[], path: readonly string[]): boolean {
+/** Updates the nesting levels for one token; returns whether the key or value at the path starts with it. */
+function visitToken(token: string, levels: INestingLevel[], path: readonly string[]): boolean {
   const top = levels.at(-1);
   switch (token) {
     case ':':
@@ -110,7 +110,7 @@
       if (top !== undefined) {
         top.index += 1;
         top.segment = String(top.index);
-        top.needsKey = !top.isArray;
+        top.expectsKey = !top.isArray;
       }
       return false;
     case '}':
@@ -121,31 +121,31 @@
     case '[': {
       const isMatch = isAtPath(levels, path);
       const isArray = token === '[';
-      levels.push({ isArray, segment: isArray ? '0' : '', index: 0, needsKey: !isArray });
+      levels.push({ isArray, segment: isArray ? '0' : '', index: 0, expectsKey: !isArray });
       return isMatch;
     }
     default:
-      if (top?.needsKey === true) {
+      if (top?.expectsKey === true) {
         top.segment = JSON.parse(token) as string;
-        top.needsKey = false;
+        top.expectsKey = false;
         return isAtPath(levels, path);
       }
       return isAtPath(levels, path);
   }
 }
 
-/** Position of the value at a JSON pointer in a valid JSON text, if it is there. */
-export function findPointer(text: string, pointer: string): ITextPosition | undefined {
+/** Position of the key or value at a JSON pointer in a valid JSON text; undefined if it is not found. */
+export function findPointerPosition(text: string, pointer: string): ITextPosition | undefined {
   const path = splitPointer(pointer);
-  const levels: ILevel[] = [];
+  const levels: INestingLevel[] = [];
   try {
     for (const match of text.matchAll(TOKEN_PATTERN)) {
       if (visitToken(match[0], levels, path)) {
-        return findPosition(text, match.index);
+        return getTextPosition(text, match.index);
       }
     }
   } catch {
-    // A position is a help for the reader; without it the pointer still names the place.
+    // The position is optional: without it the pointer still identifies the value.
   }
   return undefined;
 }
--- a/src/settings/SchemaCheck.ts
+++ b/src/settings/SchemaCheck.ts
@@ -1,21 +1,21 @@
-/** Checks of parsed JSON against a schema, with a remedy for each fault. */
+/** Validates parsed JSON against a schema and suggests a remedy for each problem. */
 import type { ErrorObject, ValidateFunction } from 'ajv';
 import { Err, Ok, type Result } from '../common/Result.js';
 import { OPERATOR_SCHEMA } from '../gen/operator.js';
 import { SETTINGS_SCHEMA } from '../gen/settings.js';
 import { encodePointerSegment } from './JsonText.js';
 
-/** More problems than this hide the first ones from the reader. */
+/** Largest number of reported problems; in a longer list the first ones are easily missed. */
 const MAX_PROBLEMS = 20;
 
-/** Fault of one value; file and line are added by the caller. */
+/** Problem with one value; the caller adds the file and the position. */
 export interface ISchemaProblem {
   readonly pointer: string;
   readonly message: string;
   readonly remedy: string;
 }
 
-/** Generated validators. A process that runs needs one of them only, so each is loaded at first use. */
+/** Generated validators. A running process needs only one of them, so each is loaded at its first use. */
 const VALIDATOR_LOADERS = new Map<object, () => Promise<{ validate: unknown }>>([
   [SETTINGS_SCHEMA, () => import('../gen/settingsValidator.js')],
   [OPERATOR_SCHEMA, () => import('../gen/operatorValidator.js')],
@@ -69,7 +69,7 @@
 }
 
 /**
- * Checks a value against a schema and applies the schema's defaults to it.
+ * Validates a value against a schema and applies the schema's defaults to the value itself.
  *
  * @example
  * const checked = await checkSchema<Settings>(SETTINGS_SCHEMA, JSON.parse(text));
--- a/src/settings/SettingsLoader.test.ts
+++ b/src/settings/SettingsLoader.test.ts
@@ -49,20 +49,20 @@
       logLevel: 'info',
       clusterSecret: 'sixteen-characters-or-more',
       clusterSecretFile: join(folder, 'secret'),
-      // Without "feed" an entry copies from the other control members.
+      // Without "feed" an entry copies the configuration from the other control members.
       feed: ['10.0.0.2:7001'],
       entry: { policy: 'default', drainTimeoutMs: 600_000 },
       control: { dataFolder: join(folder, 'data'), peers: [] },
     });
   });
 
-  it('names line and column of text that is not JSON', async () => {
+  it('reports line and column of the first syntax error', async () => {
     const failure = (await loadText('{\n  "instance": "a",\n  "region" "b"\n}')) as SettingsFailure;
     expect(failure.kind).toBe('not_json');
     expect(failure.problems[0]).toMatchObject({ line: 3, column: 12 });
   });
 
-  it('names pointer and line of a wrong value', async () => {
+  it('reports pointer and line of an invalid value', async () => {
     const failure = await loadFailure({ ...BASE, entry: { ...ENTRY, polcy: 'default' } });
     expect(failure.kind).toBe('invalid');
     expect(failure.problems[0]).toMatchObject({ pointer: '/entry/polcy', line: 13 });
@@ -75,14 +75,18 @@
     ['number above 255', { ...BASE, internal: '10.0.0.256:7001', control: CONTROL }, '/internal'],
     ['port zero', { ...BASE, internal: '10.0.0.1:0', control: CONTROL }, '/internal'],
     ['sidecar without feed', { ...BASE, sidecar: SIDECAR }, ''],
-    ['own feed', { ...BASE, feed: [BASE.internal], control: CONTROL }, '/feed/0'],
+    [
+      'feed from the process itself',
+      { ...BASE, feed: [BASE.internal], control: CONTROL },
+      '/feed/0',
+    ],
     [
       'one port for callers and internal calls',
       { ...BASE, entry: { ...ENTRY, listen: BASE.internal } },
       '/entry/listen',
     ],
     [
-      'control only on itself without the role',
+      'control list with only this process, which lacks the role',
       { ...BASE, entry: { ...ENTRY, control: [BASE.internal] } },
       '/entry/control',
     ],
@@ -100,13 +104,13 @@
       },
       '/sidecar/target/model',
     ],
-  ])('refuses %s, which the schema alone lets pass', async (_name, settings, pointer) => {
+  ])('refuses %s, which the schema does not detect', async (_name, settings, pointer) => {
     const failure = await loadFailure(settings);
     expect(failure.kind).toBe('inconsistent');
     expect(failure.problems.map((problem) => problem.pointer)).toContain(pointer);
   });
 
-  it('refuses a short or missing secret, so that no process starts without protection', async () => {
+  it('refuses a short or missing cluster secret, so that no process starts without one', async () => {
     for (const clusterSecretFile of ['short', 'missing', '.']) {
       const failure = await loadFailure({ ...BASE, clusterSecretFile, control: CONTROL });
       expect(failure.kind).toBe('bad_secret');
@@ -114,13 +118,13 @@
     }
   });
 
-  it('fails with a type for a missing file or a folder', async () => {
+  it('returns "unreadable" for a missing file, a folder or an invalid path', async () => {
     for (const file of [join(folder, 'none.json'), folder, 'a\0b']) {
       expect((await loadSettings(file)).val).toMatchObject({ kind: 'unreadable' });
     }
   });
 
-  it('never throws on arbitrary JSON, so that a bad file is always explained', async () => {
+  it('never throws on arbitrary JSON, so that an invalid file is always explained', async () => {
     await fc.assert(
       fc.asyncProperty(fc.jsonValue({ maxDepth: 5 }), async (value) => {
         const failure = await loadFailure(value);
@@ -141,13 +145,19 @@
   });
 
   it('never throws when one value has a wrong type or size', async () => {
-    const wrong = fc.oneof(
+    const wrongValue = fc.oneof(
       fc.jsonValue(),
       fc.constantFrom(1e308, -1, 2 ** 53, 'x'.repeat(100_000), '999.999.999.999:99999', '\0'),
     );
-    const place = fc.constantFrom(...Object.keys(BASE), 'entry', 'control', 'sidecar', 'feed');
+    const propertyName = fc.constantFrom(
+      ...Object.keys(BASE),
+      'entry',
+      'control',
+      'sidecar',
+      'feed',
+    );
     await fc.assert(
-      fc.asyncProperty(place, wrong, async (key, value) => {
+      fc.asyncProperty(propertyName, wrongValue, async (key, value) => {
         const settings = { ...BASE, entry: ENTRY, control: CONTROL, [key]: value };
         const loaded = await loadText(JSON.stringify(settings));
         expect('problems' in loaded || 'clusterSecret' in loaded).toBe(true);
--- a/src/settings/SettingsLoader.ts
+++ b/src/settings/SettingsLoader.ts
@@ -1,4 +1,4 @@
-/** Loads the settings file of one process. */
+/** Loads and validates the settings file of one process. */
 import { dirname, resolve } from 'node:path';
 import { describeError } from '../common/Log.js';
 import { Err, Ok, type Result } from '../common/Result.js';
@@ -39,7 +39,11 @@
   return { ...sidecar, target: { ...target, model: target.model } as ISidecarRole['target'] };
 }
 
-/** Settings in the form that the roles use. The schema's defaults are already in place. */
+/**
+ * Converts validated settings, to which the schema's defaults are already applied, to the form that the roles
+ * use. Relative paths are resolved from the folder of the settings file. Without "feed" the process copies the
+ * configuration from the control members of its entry role, or from the peers of its control role.
+ */
 function convertSettings(file: string, settings: Settings, secret: string): ILoadedSettings {
   const folder = dirname(file);
   const feed = settings.feed ?? settings.entry?.control ?? settings.control?.peers ?? [];
@@ -56,15 +60,17 @@
   };
 }
 
-async function loadChecked(file: string): Promise<Result<ILoadedSettings, SettingsFailure>> {
+async function loadAndCheckSettings(
+  file: string,
+): Promise<Result<ILoadedSettings, SettingsFailure>> {
   const read = await readJsonFile<Settings>(file, SETTINGS_SCHEMA);
   if (read.err) {
     return Err(createFailure(read.val.kind, read.val.problems));
   }
   const { text, value } = read.val;
-  const inconsistent = checkConsistency(value);
-  if (inconsistent.length > 0) {
-    const problems = inconsistent.map((problem) => addPosition(file, text, problem));
+  const consistencyProblems = checkConsistency(value);
+  if (consistencyProblems.length > 0) {
+    const problems = consistencyProblems.map((problem) => addPosition(file, text, problem));
     return Err(createFailure('inconsistent', problems));
   }
   const secretFile = resolve(dirname(file), value.clusterSecretFile);
@@ -76,9 +82,9 @@
 }
 
 /**
- * Loads a settings file: schema, defaults, checks between values, absolute paths and the cluster
- * secret. The result is complete or a failure that lists every problem with its remedy; it never
- * throws.
+ * Loads a settings file: validates it against the schema, applies defaults, checks its consistency, resolves
+ * paths and reads the cluster secret. Returns complete settings or a failure that lists the problems with
+ * their remedies; never throws.
  *
  * @example
  * const loaded = await loadSettings('/etc/redwingwharf/entry.json');
@@ -91,7 +97,7 @@
 ): Promise<Result<ILoadedSettings, SettingsFailure>> {
   const file = resolve(path);
   try {
-    return await loadChecked(file);
+    return await loadAndCheckSettings(file);
   } catch (error) {
     const message = `the file cannot be checked (${describeError(error)})`;
     const remedy = 'Compare it with the examples in docs/OPERATIONS.md.';
--- a/src/settings/Types.ts
+++ b/src/settings/Types.ts
@@ -1,4 +1,4 @@
-/** Settings of one process and the failures of reading files that people write. */
+/** Types of the loaded settings of one process, and of the problems in files that people write. */
 import type { IFailure } from '../common/Result.js';
 import type {
   ControlSettings,
@@ -8,23 +8,23 @@
   TargetSettings,
 } from '../gen/settings.js';
 
-/** One fault of a file. */
+/** One problem in a file. */
 export interface IProblem {
   readonly file: string;
   /** JSON pointer of the faulty value; empty for the whole file. */
   readonly pointer: string;
-  /** Counted from 1, where known. */
+  /** Line and column are counted from 1; undefined if unknown. */
   readonly line?: number | undefined;
   readonly column?: number | undefined;
   readonly message: string;
-  /** What to do about it. */
+  /** How to correct the problem, as a sentence. */
   readonly remedy: string;
 }
 
 export type SettingsFailureKind =
   'unreadable' | 'not_json' | 'invalid' | 'inconsistent' | 'bad_secret';
 
-/** Why settings were not loaded. The message lists all problems, one a line. */
+/** Why the settings were not loaded. The message lists all problems, one per line. */
 export type SettingsFailure = IFailure<SettingsFailureKind> & {
   readonly problems: readonly IProblem[];
 };
@@ -54,14 +54,14 @@
   readonly file: string;
   readonly clusterSecret: string;
   readonly logLevel: NonNullable<Settings['logLevel']>;
-  /** Processes to copy the configuration from, without this one. Empty only with the control role. */
+  /** Other processes to copy the configuration from, by address. Empty only with the control role. */
   readonly feed: readonly string[];
   readonly entry: IEntryRole | undefined;
   readonly control: IControlRole | undefined;
   readonly sidecar: ISidecarRole | undefined;
 }
 
-/** One line for a problem: file, line, column, pointer, fault and remedy. */
+/** Formats a problem in one line: file, line, column, pointer, message and remedy. */
 export function formatProblem(problem: IProblem): string {
   const line = problem.line === undefined ? '' : `:${problem.line}`;
   const column = problem.column === undefined ? '' : `:${problem.column}`;
