--- a/src/common/Address.ts
+++ b/src/common/Address.ts
@@ -1,6 +1,6 @@
-/** Addresses by IP number and port. */
+/** Parsing of IP addresses with a port. */
 
-/** Splits `ip:port`; the schema has checked the form. */
+/** Splits `ip:port` or `[ipv6]:port`. Does not validate: the settings schema has checked the form. */
 export function parseAddress(address: string): { readonly host: string; readonly port: number } {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
--- a/src/common/CallerKeys.test.ts
+++ b/src/common/CallerKeys.test.ts
@@ -3,7 +3,7 @@
 import { createCallerKey, parseCallerKey, verifyCallerKey } from './CallerKeys.js';
 
 describe('caller keys', () => {
-  it('verify only with their own secret, so that no key opens another account', () => {
+  it('verify only with their own secret, so that no key gives access to another account', () => {
     const first = createCallerKey('bindery');
     const second = createCallerKey('lace');
     const secret = parseCallerKey(first.text)?.secret ?? '';
@@ -26,7 +26,7 @@
     expect(createCallerKey('bindery').record.salt).not.toEqual(record.salt);
   });
 
-  it('with another form are no keys, so that a damaged header never throws', () => {
+  it('are undefined when the text is malformed, so that a damaged header never throws', () => {
     const { text } = createCallerKey('bindery');
     for (const damaged of [text.slice(1), text + 'a', text.toUpperCase(), `${text}\n`, '']) {
       expect(parseCallerKey(damaged)).toBeUndefined();
--- a/src/common/CallerKeys.ts
+++ b/src/common/CallerKeys.ts
@@ -1,13 +1,16 @@
-/** Callers' keys: `rww_<keyId>_<secret>`. Only a salted HMAC of the secret is ever stored. */
+/**
+ * API keys of callers, in the form `rww_<keyId>_<secret>`. Only a salted HMAC of the secret is stored,
+ * never the secret.
+ */
 import { randomBytes } from 'node:crypto';
 import { create } from '@bufbuild/protobuf';
 import { CallerKeySchema, type CallerKey } from '../gen/redwingwharf/v1/state_pb.js';
 import { compareSecret, signHmac } from './Hashes.js';
 
-/** 48 random bits name a key; 12 hexadecimal characters. */
+/** 48 random bits, written as 12 hexadecimal characters. */
 const KEY_ID_BYTES = 6;
 
-/** 43 characters of base64url. */
+/** Written as 43 characters of base64url. */
 const SECRET_BYTES = 32;
 
 const SALT_BYTES = 16;
@@ -15,29 +18,29 @@
 const KEY_PATTERN = /^rww_([0-9a-f]{12})_([A-Za-z0-9_-]{43})$/;
 const KEY_ID_PATTERN = /^[0-9a-f]{12}$/;
 
-/** Compared against when a key id is unknown, so that the answer takes as long as for a known one. */
-const ABSENT_SALT = new Uint8Array(SALT_BYTES);
-const ABSENT_HMAC = new Uint8Array(SECRET_BYTES);
+/** Verified in place of an unknown key's record, so that the time doesn't reveal which key ids exist. */
+const DUMMY_SALT = new Uint8Array(SALT_BYTES);
+const DUMMY_HMAC = new Uint8Array(SECRET_BYTES);
 
-/** Parts of a key as a caller sends it. */
+/** Key id and secret of a key that a caller sent. */
 export interface IParsedCallerKey {
   readonly keyId: string;
   readonly secret: string;
 }
 
-/** A new key: the text is shown once to the caller, the record is stored. */
+/** A new key: `text` is shown to its owner once, `record` is stored. */
 export interface ICreatedCallerKey {
   readonly text: string;
   readonly record: CallerKey;
 }
 
-/** True for the form of a key id. */
+/** True when the text has the form of a key id; the key need not exist. */
 export function isKeyId(text: string): boolean {
   return KEY_ID_PATTERN.test(text);
 }
 
 /**
- * Splits the text of a key; undefined when it has another form.
+ * Splits the text of a key. Returns undefined when the text is malformed.
  *
  * @example
  * const key = parseCallerKey(header.slice('Bearer '.length));
@@ -50,7 +53,7 @@
 }
 
 /**
- * Generates a key for a client account.
+ * Generates a key for a client account. Storing the record is left to the caller.
  *
  * @example
  * const { text, record } = createCallerKey('bindery');
@@ -65,15 +68,15 @@
 }
 
 /**
- * True when the secret belongs to the record and the key is not withdrawn. The time does not depend on
- * the secret, nor on whether the record exists.
+ * True when the secret belongs to the record and the key is not withdrawn. Takes the same time whatever
+ * the secret is and whether or not the record exists.
  *
  * @example
  * const isValid = verifyCallerKey(record, key.secret);
  */
 export function verifyCallerKey(record: CallerKey | undefined, secret: string): boolean {
-  const salt = record?.salt ?? ABSENT_SALT;
-  const expected = record?.secretHmac ?? ABSENT_HMAC;
+  const salt = record?.salt ?? DUMMY_SALT;
+  const expected = record?.secretHmac ?? DUMMY_HMAC;
   const isEqual = compareSecret(signHmac(salt, secret), expected);
   return isEqual && record?.withdrawn === false;
 }
--- a/src/common/Clock.ts
+++ b/src/common/Clock.ts
@@ -1,12 +1,15 @@
-/** Time sources. Deciding functions take the time as an argument; only tasks read a clock. */
+/**
+ * Time sources. Functions that decide something take the time as an argument, so that tests control it;
+ * only long-running tasks read a clock.
+ */
 
 /** A clock that never goes backwards. */
 export interface IClock {
-  /** Milliseconds since an arbitrary point in the past of this process. */
+  /** Milliseconds since an arbitrary origin; not comparable between processes. */
   now(): number;
 }
 
-/** The process's monotonic clock. Wall-clock steps don't affect it. */
+/** The process's monotonic clock, which adjustments of the system time don't affect. */
 export class MonotonicClock implements IClock {
   public now(): number {
     return performance.now();
@@ -14,7 +17,7 @@
 }
 
 /**
- * A clock that stands still until it is advanced.
+ * A clock for tests that changes only when it is advanced.
  *
  * @example
  * const clock = new ManualClock();
--- a/src/common/ConnectErrors.test.ts
+++ b/src/common/ConnectErrors.test.ts
@@ -25,7 +25,7 @@
     server.close();
   });
 
-  it('takes a refused connection for a proof, and one that broke after the request for none', async () => {
+  it('is true for a refused connection, and false for one that broke after the request was sent', async () => {
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     const { port } = server.address() as AddressInfo;
@@ -35,7 +35,7 @@
     expect(isNeverConnected(await callPort(port))).toBe(true);
   });
 
-  it('finds the code in the cause of a wrapped error', () => {
+  it('finds the error code in the cause of a wrapped error', () => {
     const cause = Object.assign(new Error('refused'), { code: 'ECONNREFUSED' });
     expect(isNeverConnected(new Error('call failed', { cause }))).toBe(true);
     expect(isNeverConnected(Object.assign(new Error('reset'), { code: 'ECONNRESET' }))).toBe(false);
--- a/src/common/ConnectErrors.ts
+++ b/src/common/ConnectErrors.ts
@@ -1,6 +1,6 @@
-/** Tells errors of connections that were never made from those that broke later. */
+/** Distinguishes connections that were never established from those that broke later. */
 
-/** Codes of connections that were never made. */
+/** Error codes that occur only before a connection is established. */
 const NOT_CONNECTED_CODES: ReadonlySet<unknown> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -10,8 +10,8 @@
 ]);
 
 /**
- * True when the error, or one that caused it, proves that no connection was made, so that nothing was
- * sent.
+ * True when the error, or one in its chain of causes, proves that no connection was established. The
+ * request was not sent then, and repeating it is safe.
  *
  * @example
  * if (isNeverConnected(error)) return { kind: 'not_run' };
--- a/src/common/Hashes.ts
+++ b/src/common/Hashes.ts
@@ -1,7 +1,7 @@
-/** Digests, keyed hashes and random identifiers. */
+/** SHA-256 digests, HMACs, byte comparison and random identifiers. */
 import { createHash, createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
-/** Length of random identifiers: 128 bits never repeat in practice. */
+/** Length of random identifiers: collisions of 128 random bits do not occur in practice. */
 const IDENTIFIER_BYTES = 16;
 
 /** SHA-256 of the concatenated parts. */
@@ -25,22 +25,22 @@
   return new Uint8Array(hmac.digest());
 }
 
-/** Compares in constant time; values of different length are never equal. */
+/** True when both hold the same bytes. Takes constant time for values of the same length. */
 export function compareSecret(left: Uint8Array, right: Uint8Array): boolean {
   return left.length === right.length && timingSafeEqual(left, right);
 }
 
-/** 128 random bits. */
+/** Generates an identifier of 128 random bits. */
 export function generateIdentifier(): Uint8Array {
   return new Uint8Array(randomBytes(IDENTIFIER_BYTES));
 }
 
-/** Lower-case hexadecimal form. */
+/** Formats bytes as lower-case hexadecimal digits. */
 export function encodeHex(bytes: Uint8Array): string {
   return Buffer.from(bytes).toString('hex');
 }
 
-/** True when both hold the same bytes. Not for secrets. */
+/** True when both hold the same bytes. Not for secrets, since the time depends on the content. */
 export function hasSameBytes(left: Uint8Array, right: Uint8Array): boolean {
   return Buffer.compare(left, right) === 0;
 }
--- a/src/common/HttpAnswer.test.ts
+++ b/src/common/HttpAnswer.test.ts
@@ -6,7 +6,7 @@
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { sendRequest, type IHttpAnswer } from './HttpAnswer.js';
 
-const PARTS = Array.from({ length: 50 }, (_, index) => `part ${index};`);
+const CHUNKS = Array.from({ length: 50 }, (_, index) => `part ${index};`);
 
 describe('sendRequest', () => {
   let server: Server;
@@ -34,19 +34,19 @@
     return sendRequest(agent, options, signal);
   }
 
-  it('keeps what arrives before the reader is attached', async () => {
-    respond = (response) => response.end(PARTS.join(''));
+  it('buffers chunks that arrive before the reader is attached', async () => {
+    respond = (response) => response.end(CHUNKS.join(''));
     const answer = await send();
     await delay(20);
     let text = '';
     await answer.body.read((chunk) => (text += chunk.toString()));
-    expect(text).toBe(PARTS.join(''));
+    expect(text).toBe(CHUNKS.join(''));
   });
 
-  it('passes chunks on once and in order when each is paused, so that no event is lost or doubled', async () => {
+  it('delivers each chunk once and in order when the reader pauses after each, so that no event is lost or repeated', async () => {
     respond = (response) => {
-      for (const part of PARTS) {
-        response.write(part);
+      for (const chunk of CHUNKS) {
+        response.write(chunk);
       }
       response.end();
     };
@@ -63,10 +63,10 @@
         answer.body.resume();
       });
     });
-    expect(text).toBe(PARTS.join(''));
+    expect(text).toBe(CHUNKS.join(''));
   });
 
-  it('rejects a body that breaks off, so that a part is not taken for the whole', async () => {
+  it('rejects when the connection breaks within the body, so that a truncated answer is not taken as complete', async () => {
     respond = (response) => {
       response.write('part', () => response.destroy());
     };
@@ -74,7 +74,7 @@
     await expect(answer.body.read(() => undefined)).rejects.toThrow();
   });
 
-  it('rejects when the callback throws, and drops the connection', async () => {
+  it('rejects and closes the connection when the callback throws', async () => {
     const closed = new Promise((resolve) => {
       respond = (response) => {
         response.once('close', resolve);
@@ -90,7 +90,7 @@
   });
 
   it.each(['before the head', 'within the body'])(
-    'ends the request at the target when it is aborted %s',
+    'closes the connection to the target when the request is aborted %s',
     async (when) => {
       const controller = new AbortController();
       const closed = new Promise((resolve) => {
--- a/src/common/HttpAnswer.ts
+++ b/src/common/HttpAnswer.ts
@@ -1,24 +1,27 @@
 /**
- * HTTP requests whose answers go to a callback chunk by chunk. A stream object with an async iterator
- * costs several promises for each token event.
+ * HTTP requests whose answers are passed to a callback chunk by chunk. Reading them through an async
+ * iterator would cost several promises for each token event.
  */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 
-/** Answer whose head has arrived. */
+/** An answer whose head has arrived; the body may still be on its way. */
 export interface IHttpAnswer {
   readonly statusCode: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: AnswerBody;
 }
 
-/** Options of a request. */
+/** Origin, path, method, headers and body of a request. */
 export type IRequestOptions = Dispatcher.DispatchOptions;
 
-/** Body of an answer. It has one reader; until that is attached the connection is paused. */
+/**
+ * Body of an answer, read by one callback. Chunks that arrive before the callback is attached are
+ * buffered, and the connection is paused until then. Whoever gets the body must read or destroy it.
+ */
 export class AnswerBody {
-  /** Chunks that arrived while the body was paused. */
-  private readonly _early: Buffer[] = [];
+  /** Chunks that arrived before the reader was attached. */
+  private readonly _bufferedChunks: Buffer[] = [];
   private _onData: ((chunk: Buffer) => void) | undefined;
   private _onEnd: ((error: Error | undefined) => void) | undefined;
   private _end: { readonly error: Error | undefined } | undefined;
@@ -27,8 +30,8 @@
   constructor(private readonly _controller: Dispatcher.DispatchController) {}
 
   /**
-   * Passes each chunk to the callback and resolves at the end of the body. Rejects when the answer
-   * breaks off, when the request is aborted and when the callback throws.
+   * Passes each chunk to the callback and resolves at the end of the body. Rejects when the connection
+   * breaks before the body is complete, when the request is aborted and when the callback throws.
    *
    * @example
    * await answer.body.read((chunk) => parts.push(chunk));
@@ -48,7 +51,7 @@
         return;
       }
       if (this._end.error === undefined) {
-        this._deliverEarly();
+        this._deliverBuffered();
       }
       this._onEnd(this._end.error);
     });
@@ -60,34 +63,34 @@
     this._controller.pause();
   }
 
-  /** Goes on after `pause`. */
+  /** Delivers buffered chunks, unless the callback pauses again, and continues to read the connection. */
   public resume(): void {
     this._isPaused = false;
-    while (this._early.length > 0 && this._mayDeliver()) {
-      this._deliver(this._early.shift());
+    while (this._bufferedChunks.length > 0 && this._canDeliver()) {
+      this._deliver(this._bufferedChunks.shift());
     }
-    if (this._mayDeliver()) {
+    if (this._canDeliver()) {
       this._controller.resume();
     }
   }
 
-  /** Drops the rest of the body and its connection; a reader is rejected. */
+  /** Discards the rest of the body and closes its connection; `read` rejects with the error. */
   public destroy(error: Error = new Error('the answer was dropped')): void {
     this.finish(error);
     this._controller.abort(error);
   }
 
-  /** Takes a chunk from the connection. */
+  /** Called by the connection with each chunk: delivers it, or buffers it while there is no reader. */
   public push(chunk: Buffer): void {
     if (this._onData === undefined) {
-      this._early.push(chunk);
+      this._bufferedChunks.push(chunk);
       this._controller.pause();
     } else {
       this._deliver(chunk);
     }
   }
 
-  /** Takes the end of the body, or the error that broke it off. */
+  /** Called by the connection at the end of the body, or with the error that ended it early. */
   public finish(error: Error | undefined): void {
     if (this._end === undefined) {
       this._end = { error };
@@ -95,14 +98,14 @@
     }
   }
 
-  /** Chunks of an answer that was complete before it had a reader. */
-  private _deliverEarly(): void {
-    for (const chunk of this._early.splice(0)) {
+  /** Delivers the chunks of an answer that was complete before its reader was attached. */
+  private _deliverBuffered(): void {
+    for (const chunk of this._bufferedChunks.splice(0)) {
       this._onData?.(chunk);
     }
   }
 
-  private _mayDeliver(): boolean {
+  private _canDeliver(): boolean {
     return !this._isPaused && this._end === undefined;
   }
 
@@ -118,28 +121,34 @@
   }
 }
 
-/** Largest buffered answer. */
+/** Largest answer that `readAnswer` buffers. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-/** Raised when an answer exceeds the limit. */
+/** Thrown by `readAnswer` when an answer exceeds `MAX_ANSWER_BYTES`. */
 export class AnswerTooLargeError extends Error {}
 
-/** Reads the body to its end; throws when it breaks off. */
+/**
+ * Reads the whole body. Rejects with `AnswerTooLargeError` when it exceeds 8 MiB, and in the cases in
+ * which `AnswerBody.read` does.
+ */
 export async function readAnswer(body: AnswerBody): Promise<Buffer> {
-  const parts: Buffer[] = [];
-  let size = 0;
-  await body.read((part) => {
-    size += part.length;
-    if (size > MAX_ANSWER_BYTES) {
+  const chunks: Buffer[] = [];
+  let totalBytes = 0;
+  await body.read((chunk) => {
+    totalBytes += chunk.length;
+    if (totalBytes > MAX_ANSWER_BYTES) {
       throw new AnswerTooLargeError(`the answer exceeds ${MAX_ANSWER_BYTES} bytes`);
     }
-    parts.push(part);
+    chunks.push(chunk);
   });
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
-/** One request on its way. */
-class Exchange implements Dispatcher.DispatchHandler {
+/**
+ * Receives undici's events for one request and forwards them to its answer. Aborting the signal ends the
+ * request before and after the head of the answer.
+ */
+class ResponseHandler implements Dispatcher.DispatchHandler {
   private _controller: Dispatcher.DispatchController | undefined;
   private _body: AnswerBody | undefined;
 
@@ -199,8 +208,8 @@
 }
 
 /**
- * Sends a request and resolves once the head of the answer is there. Rejects with the connection's
- * error or the reason of the signal.
+ * Sends a request and resolves once the head of the answer has arrived; 1xx answers are skipped. Rejects
+ * with the connection's error or the reason of the signal.
  *
  * @example
  * const answer = await sendRequest(agent, { origin, path: '/', method: 'GET' }, signal);
@@ -213,6 +222,6 @@
 ): Promise<IHttpAnswer> {
   signal.throwIfAborted();
   return new Promise((resolve, reject) => {
-    dispatcher.dispatch(options, new Exchange(signal, resolve, reject));
+    dispatcher.dispatch(options, new ResponseHandler(signal, resolve, reject));
   });
 }
--- a/src/common/Lifecycle.ts
+++ b/src/common/Lifecycle.ts
@@ -1,15 +1,15 @@
-/** Ownership and events. */
+/** Disposal of resources, and events within a process. */
 
-/** Something that holds resources until it is disposed of. */
+/** An object that holds resources, such as timers and subscriptions, until it is disposed of. */
 export interface IDisposable {
   dispose(): void;
 }
 
-/** Subscribes a listener; the result ends the subscription. */
+/** Subscribes a listener; disposing of the result ends the subscription. */
 export type IEvent<T> = (listener: (value: T) => void) => IDisposable;
 
 /**
- * Source of one event.
+ * Source of one event: calls its listeners synchronously, in the order of their subscription.
  *
  * @example
  * const emitter = new Emitter<number>();
--- a/src/common/Log.ts
+++ b/src/common/Log.ts
@@ -1,7 +1,7 @@
-/** JSON-line logs. No caller's key, prompt text or generated token may reach a log line. */
+/** Logs as JSON lines. Callers' keys, prompt texts and generated tokens must not be logged. */
 import { Logger } from 'tslog';
 
-/** Levels of the settings file, in tslog's numbering. */
+/** Levels of the settings file and their numbers in tslog. */
 const LEVELS = { debug: 2, info: 3, warn: 4, error: 5 } as const;
 
 export type LogLevel = keyof typeof LEVELS;
@@ -9,7 +9,7 @@
 /** Fields of a log line besides time, level and message. */
 export type ILogFields = Readonly<Record<string, unknown>>;
 
-/** Narrow logging service that modules take by constructor. */
+/** Log that modules receive through their constructor. */
 export interface ILog {
   debug(message: string, fields?: ILogFields): void;
   info(message: string, fields?: ILogFields): void;
@@ -17,7 +17,7 @@
   error(message: string, fields?: ILogFields): void;
 }
 
-/** What tslog passes on: its message and fields, and the level that `addMeta` adds. */
+/** Object that tslog passes to `transportJSON`: the message, the fields, and the level from `addMeta`. */
 interface ITslogLine {
   readonly message: unknown;
   readonly fields: unknown;
@@ -35,13 +35,13 @@
   });
 }
 
-/** Describes an error for a log line without its stack. */
+/** Returns the message of an error, without its stack, for a log line. */
 export function describeError(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
 
 /**
- * Creates the process's log.
+ * Creates the log of the process. `write` gets each line without a line break.
  *
  * @example
  * const log = createLog('entry-1', 'info', (line) => process.stdout.write(line + '\n'));
@@ -51,11 +51,11 @@
   const logger = new Logger<Record<string, unknown>>({
     type: 'json',
     minLevel: LEVELS[level],
-    // Finding the position takes a stack trace for each line.
+    // The position in the code would cost a stack trace for each line.
     hideLogPositionForProduction: true,
-    // Masking copies every field of a line; callers of the log pass no secrets.
+    // Masking would copy every field of a line; callers of the log pass no secrets.
     maskValuesOfKeys: [],
-    // The default steps copy the fields and describe the runtime for each line.
+    // The default implementations would copy the fields and describe the runtime for each line.
     overwrite: {
       toLogObj: ([message, fields]) => ({ message, fields }),
       addMeta: (line, _levelId, levelName) =>
@@ -73,7 +73,7 @@
   };
 }
 
-/** A log that drops everything, for tests. */
+/** A log that discards everything, for tests. */
 export const SILENT_LOG: ILog = {
   debug: () => undefined,
   info: () => undefined,
--- a/src/common/LogWriter.ts
+++ b/src/common/LogWriter.ts
@@ -1,23 +1,24 @@
 /**
- * Writes log lines without ever holding up the process. Writing to a pipe blocks in Node, so lines are
- * collected and handed to a thread; what exceeds the limits is dropped and counted.
+ * Writes log lines without blocking the event loop. Writes to a pipe are synchronous in Node, so lines
+ * are buffered and written by a thread; lines beyond the limits are dropped and counted.
  */
 
-/** Lines are collected for this long. */
-const FLUSH_MS = 50;
+/** Time for which lines are buffered before they are written together. */
+const FLUSH_INTERVAL_MS = 50;
 
-/** Lines a second, and lines in a burst. Ten entries of a busy site write about 20 a second each. */
-const LINES_PER_SECOND = 300;
-const BURST_LINES = 600;
+/** Token bucket for log lines. An entry of a busy site with ten entries writes about 20 lines a second. */
+const MAX_LINES_PER_SECOND = 300;
+const MAX_BURST_LINES = 600;
 
-/** Bytes that wait while the reader of the log does not take them. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Largest buffer while the reader of the log does not keep up. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Writes text and calls back when it is written. */
+/** Writes text and calls `done` when it is written, or with the error. */
 export type LogOutput = (text: string, done: (error: Error | null) => void) => void;
 
 /**
- * Bounded buffer in front of the log output.
+ * Buffers log lines and writes them in batches, one write at a time. Drops lines beyond a rate limit and
+ * beyond a limit of buffered bytes, and reports their number in the log.
  *
  * @example
  * const writer = new LogWriter((text, done) => { write(1, text, done); }, () => performance.now());
@@ -25,10 +26,10 @@
  */
 export class LogWriter {
   private _lines: string[] = [];
-  private _bytes = 0;
-  private _allowed = BURST_LINES;
-  private _refilledAt: number;
-  private _dropped = 0;
+  private _bufferedBytes = 0;
+  private _lineTokens = MAX_BURST_LINES;
+  private _refilledAtMs: number;
+  private _droppedLines = 0;
   private _isWriting = false;
   private _timer: NodeJS.Timeout | undefined;
 
@@ -36,55 +37,55 @@
     private readonly _output: LogOutput,
     private readonly _now: () => number,
   ) {
-    this._refilledAt = _now();
+    this._refilledAtMs = _now();
   }
 
-  /** Lines that were dropped since the last note about them. */
+  /** Number of lines dropped since the last log line that reported them. */
   public get dropped(): number {
-    return this._dropped;
+    return this._droppedLines;
   }
 
   public push(line: string): void {
     this._refill();
-    if (this._allowed < 1 || this._bytes + line.length > MAX_WAITING_BYTES) {
-      this._dropped += 1;
+    if (this._lineTokens < 1 || this._bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+      this._droppedLines += 1;
       return;
     }
-    this._allowed -= 1;
+    this._lineTokens -= 1;
     this._lines.push(line);
-    this._bytes += line.length + 1;
+    this._bufferedBytes += line.length + 1;
     this._timer ??= setTimeout(() => {
       this._timer = undefined;
       this.flush();
-    }, FLUSH_MS);
+    }, FLUSH_INTERVAL_MS);
   }
 
-  /** Writes what is collected; while a write is under way, the rest waits for its end. */
+  /** Writes the buffered lines. During a write it does nothing; they are written when it ends. */
   public flush(): void {
     if (this._isWriting || this._lines.length === 0) {
       return;
     }
-    if (this._dropped > 0) {
+    if (this._droppedLines > 0) {
       this._lines.push(
-        JSON.stringify({ level: 'warn', message: 'log lines dropped', lines: this._dropped }),
+        JSON.stringify({ level: 'warn', message: 'log lines dropped', lines: this._droppedLines }),
       );
-      this._dropped = 0;
+      this._droppedLines = 0;
     }
     const text = `${this._lines.join('\n')}\n`;
     this._lines = [];
     this._isWriting = true;
     this._output(text, () => {
-      // An output that fails has nobody to tell; the next lines are tried again.
+      // A failed write can't be reported anywhere and is ignored; later lines are still written.
       this._isWriting = false;
-      this._bytes = this._lines.reduce((sum, line) => sum + line.length + 1, 0);
+      this._bufferedBytes = this._lines.reduce((sum, line) => sum + line.length + 1, 0);
       this.flush();
     });
   }
 
   private _refill(): void {
     const now = this._now();
-    const refilled = this._allowed + ((now - this._refilledAt) / 1_000) * LINES_PER_SECOND;
-    this._allowed = Math.min(BURST_LINES, refilled);
-    this._refilledAt = now;
+    const refilled = this._lineTokens + ((now - this._refilledAtMs) / 1_000) * MAX_LINES_PER_SECOND;
+    this._lineTokens = Math.min(MAX_BURST_LINES, refilled);
+    this._refilledAtMs = now;
   }
 }
--- a/src/common/Metrics.test.ts
+++ b/src/common/Metrics.test.ts
@@ -4,7 +4,7 @@
 const SAMPLE = /^[a-z_]+(\{([a-z]+="(\\[\\"n]|[^\\"\n])*",?)+\})? -?\d+(\.\d+)?$/;
 
 describe('Metrics', () => {
-  it('renders text that Prometheus can read, whatever the label values hold', () => {
+  it('renders valid Prometheus text whatever characters the label values contain', () => {
     const metrics = new Metrics();
     metrics.increment('refusals_total', { code: 'a"b\\c\nd' });
     metrics.increment('refusals_total', { code: 'x'.repeat(1_000) });
@@ -20,7 +20,7 @@
     expect(Math.max(...samples.map((line) => line.length))).toBeLessThan(200);
   });
 
-  it('describes each metric once, before its samples', () => {
+  it('renders HELP and TYPE once for each metric, and its samples together', () => {
     const metrics = new Metrics();
     metrics.increment('requests_total', { service: 'a' });
     metrics.increment('retries_total');
--- a/src/common/Metrics.ts
+++ b/src/common/Metrics.ts
@@ -1,20 +1,20 @@
 /** Counters and latency quantiles in the Prometheus text format. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** Longest latency that is told apart: ten minutes. */
-const HIGHEST_MS = 600_000;
+/** Ten minutes; longer latencies are recorded as this value. */
+const MAX_LATENCY_MS = 600_000;
 
-/** Two digits keep each histogram at a few kilobytes. */
+/** Two significant digits keep each histogram at a few kilobytes. */
 const SIGNIFICANT_DIGITS = 2;
 
 const QUANTILES = [50, 90, 95, 99] as const;
 
-const PREFIX = 'redwingwharf_';
+const METRIC_PREFIX = 'redwingwharf_';
 
-/** Label values beyond this are cut. */
+/** Longer label values are truncated. */
 const MAX_LABEL_LENGTH = 100;
 
-/** What the metrics mean; a name that is missing here is described by itself. */
+/** Help texts by metric name. A metric without one shows its name as its help text. */
 const HELP: Readonly<Record<string, string>> = {
   cached_prompt_tokens_total: 'Prompt tokens that engines took from their caches.',
   dispatches_in_progress: 'Dispatches of this entry that have not ended.',
@@ -45,22 +45,22 @@
 }
 
 /**
- * Metrics of one process.
+ * Counters, gauges and latency summaries of one process, rendered for Prometheus.
  *
  * @example
  * metrics.increment('requests_total', { result: 'ok' });
  * metrics.observe('ttft_ms', 12, { service: 'lace' });
  */
 export class Metrics {
-  /** By name and formatted labels. */
+  /** Series by metric name, then by formatted labels. */
   private readonly _counters = new Map<string, Map<string, number>>();
   private readonly _histograms = new Map<string, Map<string, IHistogramSeries>>();
   private readonly _gauges = new Map<string, () => number>();
 
-  public increment(name: string, labels: ILabels = {}, by = 1): void {
+  public increment(name: string, labels: ILabels = {}, amount = 1): void {
     const series = ensureMap(this._counters, name);
     const id = formatLabels(labels);
-    series.set(id, (series.get(id) ?? 0) + by);
+    series.set(id, (series.get(id) ?? 0) + amount);
   }
 
   /** Records a duration in milliseconds. */
@@ -72,27 +72,27 @@
       series = { labels, histogram: createHistogram(), sum: 0 };
       allSeries.set(id, series);
     }
-    const value = Math.min(HIGHEST_MS, Math.max(0, Math.round(ms)));
+    const value = Math.min(MAX_LATENCY_MS, Math.max(0, Math.round(ms)));
     series.histogram.recordValue(value);
     series.sum += value;
   }
 
-  /** Registers a value that is read when the metrics are. */
+  /** Registers a gauge whose value is read each time the metrics are rendered. */
   public addGauge(name: string, read: () => number): void {
     this._gauges.set(name, read);
   }
 
-  /** Prometheus text. */
+  /** Renders all metrics in the Prometheus text format. */
   public render(): string {
     const lines: string[] = [];
     for (const [name, series] of this._counters) {
       lines.push(...formatHeader(name, 'counter'));
       for (const [labels, value] of series) {
-        lines.push(`${PREFIX}${name}${labels} ${value}`);
+        lines.push(`${METRIC_PREFIX}${name}${labels} ${value}`);
       }
     }
     for (const [name, read] of this._gauges) {
-      lines.push(...formatHeader(name, 'gauge'), `${PREFIX}${name} ${read()}`);
+      lines.push(...formatHeader(name, 'gauge'), `${METRIC_PREFIX}${name} ${read()}`);
     }
     for (const [name, series] of this._histograms) {
       lines.push(...formatHeader(name, 'summary'));
@@ -105,15 +105,15 @@
 function createHistogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MS,
+    highestTrackableValue: MAX_LATENCY_MS,
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
 
 function ensureMap<T>(maps: Map<string, Map<string, T>>, name: string): Map<string, T> {
-  const known = maps.get(name);
-  if (known !== undefined) {
-    return known;
+  const existing = maps.get(name);
+  if (existing !== undefined) {
+    return existing;
   }
   const map = new Map<string, T>();
   maps.set(name, map);
@@ -121,19 +121,22 @@
 }
 
 function formatHeader(name: string, type: 'counter' | 'gauge' | 'summary'): string[] {
-  return [`# HELP ${PREFIX}${name} ${HELP[name] ?? name}`, `# TYPE ${PREFIX}${name} ${type}`];
+  return [
+    `# HELP ${METRIC_PREFIX}${name} ${HELP[name] ?? name}`,
+    `# TYPE ${METRIC_PREFIX}${name} ${type}`,
+  ];
 }
 
 function formatSummary(name: string, { labels, histogram, sum }: IHistogramSeries): string[] {
   const quantiles = QUANTILES.map((percent) => {
     const value = histogram.getValueAtPercentile(percent);
-    return `${PREFIX}${name}${formatLabels({ ...labels, quantile: `${percent / 100}` })} ${value}`;
+    return `${METRIC_PREFIX}${name}${formatLabels({ ...labels, quantile: `${percent / 100}` })} ${value}`;
   });
   const suffix = formatLabels(labels);
   return [
     ...quantiles,
-    `${PREFIX}${name}_sum${suffix} ${sum}`,
-    `${PREFIX}${name}_count${suffix} ${histogram.totalCount}`,
+    `${METRIC_PREFIX}${name}_sum${suffix} ${sum}`,
+    `${METRIC_PREFIX}${name}_count${suffix} ${histogram.totalCount}`,
   ];
 }
 
--- a/src/common/Rpc.ts
+++ b/src/common/Rpc.ts
@@ -1,4 +1,4 @@
-/** Connect clients and servers for calls between the processes of a deployment. */
+/** Clients and servers of the Connect protocol, for calls between the processes of a deployment. */
 import {
   createClient,
   type Client,
@@ -13,18 +13,18 @@
 /** Header with the secret that the processes of a deployment share. */
 export const CLUSTER_SECRET_HEADER = 'x-rww-cluster';
 
-/** Path prefix of all calls. */
+/** Path prefix of all calls: the package of the Protobuf services. */
 export const RPC_PATH_PREFIX = '/redwingwharf.v1.';
 
-/** Largest message: a snapshot chunk or a full copy of the items. */
+/** Largest message. The largest ones are snapshot chunks and full copies of the items. */
 const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
 /** Idle connections kept for each address. */
-const MAX_FREE_SOCKETS = 4;
+const MAX_IDLE_SOCKETS = 4;
 
-/** Makes and keeps one client for each service and address. */
+/** Creates and caches one client for each service and address; all share one connection pool. */
 export class RpcClients {
-  private readonly _agent = new Agent({ keepAlive: true, maxFreeSockets: MAX_FREE_SOCKETS });
+  private readonly _agent = new Agent({ keepAlive: true, maxFreeSockets: MAX_IDLE_SOCKETS });
   private readonly _clients = new Map<string, unknown>();
   private readonly _addSecret: Interceptor;
 
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Client of a service at an internal address.
+   * Returns the client of a service at an internal address, and creates it at the first call.
    *
    * @example
    * const feed = clients.get(FeedService, '127.0.0.1:7001');
@@ -44,9 +44,9 @@
    */
   public get<T extends DescService>(service: T, address: string): Client<T> {
     const id = `${service.typeName} ${address}`;
-    const known = this._clients.get(id) as Client<T> | undefined;
-    if (known !== undefined) {
-      return known;
+    const existing = this._clients.get(id) as Client<T> | undefined;
+    if (existing !== undefined) {
+      return existing;
     }
     const transport = createConnectTransport({
       baseUrl: `http://${address}`,
@@ -67,7 +67,7 @@
   }
 }
 
-/** True when the request carries the deployment's secret. */
+/** True when the request carries the secret of the deployment. */
 export function hasClusterSecret(request: IncomingMessage, clusterSecret: string): boolean {
   const header = request.headers[CLUSTER_SECRET_HEADER];
   return (
@@ -75,13 +75,13 @@
   );
 }
 
-/** Answers 403 to a request from outside the deployment. */
+/** Answers 403 to a request without the secret of the deployment. */
 export function refuseForeignRequest(response: ServerResponse): void {
   response.writeHead(403, { 'content-type': 'text/plain' });
   response.end('The cluster secret is missing or wrong; check clusterSecretFile.\n');
 }
 
-/** Request handler for the given services; other paths go to `fallback`. */
+/** Creates a request handler for the services that `register` adds; other paths go to `fallback`. */
 export function createRpcHandler(
   register: (router: ConnectRouter) => void,
   fallback?: RequestListener,
--- a/src/common/Tasks.test.ts
+++ b/src/common/Tasks.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest';
 import { limitSignal, runPeriodically, runWithLimit, sleep } from './Tasks.js';
 
-const LONG_MS = 10_000;
+const SLEEP_MS = 10_000;
 
 describe('sleep', () => {
   it('ends early on abort, so that shutdown does not wait for timers', async () => {
@@ -18,7 +18,7 @@
 });
 
 describe('runPeriodically', () => {
-  it('goes on after a failed step, so that one lost call does not end a task', async () => {
+  it('continues after a failed step, so that one lost call does not end a task', async () => {
     const controller = new AbortController();
     const failures: unknown[] = [];
     let steps = 0;
@@ -40,7 +40,8 @@
 });
 
 describe('limitSignal', () => {
-  it('guards against a limit that is lost when the garbage is collected', async () => {
+  // A timeout signal that is only weakly held can be collected, and its limit is never enforced.
+  it('is aborted at the limit after garbage collections', async () => {
     setFlagsFromString('--expose-gc');
     const collectGarbage = runInNewContext('gc') as () => void;
     const parent = new AbortController();
@@ -52,7 +53,7 @@
     expect(signals.filter((signal) => signal.aborted)).toHaveLength(20);
   });
 
-  it('leaves nothing behind at a signal that lives as long as the process', async () => {
+  it('removes its listener from the parent, so that a parent that lives as long as the process does not accumulate them', async () => {
     const parent = new AbortController();
     const signals = Array.from({ length: 5 }, () => limitSignal(parent.signal, 1));
     await Promise.all(signals.map((signal) => sleep(5_000, signal)));
@@ -65,7 +66,7 @@
     expect(limitSignal(parent.signal, 60_000).aborted).toBe(true);
   });
 
-  it('accepts the remaining time of a deadline, which is no whole number', async () => {
+  it('accepts a fractional number of milliseconds, such as the remaining time of a deadline', async () => {
     const signal = limitSignal(new AbortController().signal, 0.5);
     await sleep(5_000, signal);
     expect(signal.aborted).toBe(true);
@@ -73,29 +74,29 @@
 });
 
 describe('runWithLimit', () => {
-  it('aborts at the limit after garbage collections, so that no call blocks a task for good', async () => {
+  it('aborts at the limit after garbage collections, so that no call blocks a task forever', async () => {
     setFlagsFromString('--expose-gc');
     const collect = runInNewContext('gc') as () => void;
     const parent = new AbortController();
     const startedAt = performance.now();
     const calls = Array.from({ length: 100 }, () =>
-      runWithLimit(parent.signal, 100, (signal) => sleep(LONG_MS, signal)),
+      runWithLimit(parent.signal, 100, (signal) => sleep(SLEEP_MS, signal)),
     );
     for (let n = 0; n < 5; n += 1) {
       collect();
       await sleep(5, parent.signal);
     }
     await Promise.all(calls);
-    expect(performance.now() - startedAt).toBeLessThan(LONG_MS);
+    expect(performance.now() - startedAt).toBeLessThan(SLEEP_MS);
   });
 
-  it('aborts with its parent, also one that is aborted already', async () => {
+  it('aborts with its parent, and at once when the parent is already aborted', async () => {
     const parent = new AbortController();
     const startedAt = performance.now();
-    const call = runWithLimit(parent.signal, LONG_MS, (signal) => sleep(LONG_MS, signal));
+    const call = runWithLimit(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
     parent.abort();
     await call;
-    await runWithLimit(parent.signal, LONG_MS, (signal) => sleep(LONG_MS, signal));
-    expect(performance.now() - startedAt).toBeLessThan(LONG_MS);
+    await runWithLimit(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
+    expect(performance.now() - startedAt).toBeLessThan(SLEEP_MS);
   });
 });
--- a/src/common/Tasks.ts
+++ b/src/common/Tasks.ts
@@ -1,7 +1,8 @@
-/** Helpers for tasks that run until a signal is aborted. */
+/** Timers, timeouts and periodic steps for tasks that run until a signal is aborted. */
 
 /**
- * Waits `ms` milliseconds, or until one of the signals is aborted, whichever comes first.
+ * Waits `ms` milliseconds, or until one of the signals is aborted, whichever comes first. Resolves in
+ * both cases.
  *
  * @example
  * await sleep(500, signal);
@@ -25,24 +26,25 @@
   });
 }
 
-/** Random time between half of `ms` and one and a half times `ms`, so that herds spread out. */
+/** Returns a random time between 0.5 and 1.5 times `ms`; the jitter prevents a thundering herd. */
 export function addJitter(ms: number, random: () => number = Math.random): number {
   return ms * (0.5 + random());
 }
 
-/** Reads the signal anew; the compiler assumes that a property does not change across an await. */
+/** Reads `signal.aborted`. TypeScript assumes that the property does not change across an await. */
 export function isAborted(signal: AbortSignal): boolean {
   return signal.aborted;
 }
 
-/** A signal that is aborted after `ms` milliseconds; Node accepts whole numbers only. */
+/** Creates a signal that is aborted after `ms` milliseconds, rounded up: Node requires an integer. */
 export function createTimeoutSignal(ms: number): AbortSignal {
   return AbortSignal.timeout(Math.max(0, Math.ceil(ms)));
 }
 
 /**
- * A signal that is aborted with its parent or after `ms` milliseconds, for work that goes on after a call
- * returned. Its listener leaves the parent at the limit at the latest; `runWithLimit` ends it earlier.
+ * Creates a signal that is aborted with its parent or after `ms` milliseconds, for work that continues
+ * after a call has returned. Its listener stays at the parent until then; `runWithLimit` removes its own
+ * as soon as the call ends.
  */
 export function limitSignal(parent: AbortSignal, ms: number): AbortSignal {
   const controller = new AbortController();
@@ -60,9 +62,10 @@
 }
 
 /**
- * Runs a call whose signal is aborted with its parent or after `ms` milliseconds. In Node 20 a signal
- * from `AbortSignal.any` over `AbortSignal.timeout` may never be aborted, because the timeout signal is
- * held weakly and can be collected; a call without limit would block its task for good.
+ * Runs a call with a signal that is aborted with its parent or after `ms` milliseconds. The call itself
+ * must end when its signal is aborted. `AbortSignal.any` over `AbortSignal.timeout` does not serve here:
+ * in Node 20 the timeout signal is held weakly and can be garbage-collected, so that the combined signal
+ * is never aborted, and a call without a time limit would block its task forever.
  *
  * @example
  * const reply = await runWithLimit(signal, 600, (limited) => transport.join(address, request, limited));
@@ -90,8 +93,8 @@
 }
 
 /**
- * Repeats a step at a jittered interval until the signal is aborted. A step that fails is reported
- * and does not end the task.
+ * Repeats a step at a jittered interval until the signal is aborted. The interval begins when a step
+ * ends. A failed step is passed to `report` and does not end the task.
  */
 export async function runPeriodically(
   intervalMs: number,
--- a/src/common/TestSwitches.ts
+++ b/src/common/TestSwitches.ts
@@ -1,7 +1,7 @@
 /**
- * Switches of the soak that turn one mechanism off. Their uses carry the label TEST_ONLY, which
- * tools/build.mjs removes from the product's bundle, so no settings file and no environment reaches them
- * there.
+ * Switches with which the soak test disables a single safety mechanism, to show that its checks find the
+ * resulting fault. All uses carry the label TEST_ONLY. tools/build.mjs removes labelled statements from
+ * the product's bundles, so that neither settings nor the environment can disable a mechanism there.
  */
 import { create } from '@bufbuild/protobuf';
 import {
@@ -10,12 +10,12 @@
   type ClaimResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
 
-/** True when the test bundle was started with this mechanism switched off. */
+/** True when the process runs the test bundle and the environment disables this mechanism. */
 export function isBroken(mechanism: string): boolean {
   return process.env.REDWINGWHARF_BREAK === mechanism;
 }
 
-/** Looks like a granted claim, but no control member knows of it. */
+/** Creates the result of a granted claim that no control member has recorded. */
 export function createUnrecordedClaim(): ClaimResult {
   const claimId = BigInt(Math.floor((Date.now() + Math.random()) * 1_000));
   return create(ClaimResultSchema, { state: ClaimState.GRANTED, claimId, attempt: 1 });
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,8 +1,8 @@
-/** Program entry: connects the command line to the process. */
+/** Entry point of the program: passes the arguments to the command line and sets the exit code. */
 import { runCommand } from './cli/Commands.js';
 import { type IInitialiser, type IOutput, type IRunner } from './cli/Types.js';
 
-/** Set by tools/build.mjs. */
+/** Version from package.json; tools/build.mjs replaces the name by its value. */
 declare const __VERSION__: string;
 
 const output: IOutput = {
@@ -10,7 +10,7 @@
   warn: (line) => process.stderr.write(`${line}\n`),
 };
 
-/** The roles are loaded only when a process runs, so that other commands start fast. */
+/** Loads the roles only for the command that runs a process, so that other commands start fast. */
 const runner: IRunner = {
   run: async (settings, signal) => {
     const { runProcess } = await import('./run/Process.js');
@@ -18,7 +18,7 @@
   },
 };
 
-/** Loaded only for this command. */
+/** Loads the control role only for the command that initialises its data directory. */
 const initialiser: IInitialiser = {
   init: async (settings) => {
     const { initialiseControl } = await import('./run/ControlRole.js');
