--- a/fakes/Engine.ts
+++ b/fakes/Engine.ts
@@ -1,30 +1,37 @@
-/** Fake model engine: batching, prefix cache, priorities, orders. It generates no real text. */
+/**
+ * Fake model engine for tests, with batching, a prefix cache, priorities and weights that are loaded on
+ * order. Its answers are numbered placeholder tokens.
+ */
 import { createHash, randomUUID } from 'node:crypto';
 import { setTimeout as delay } from 'node:timers/promises';
 import { ChunkOwners, EngineCache, hashPrompt, type IEngineCacheOptions } from './EngineCache.js';
 import { EngineStream } from './EngineStream.js';
 
-/** Rough length of a token in UTF-8 bytes. */
+/** Average length of a token in UTF-8 bytes, from which prompt lengths are estimated. */
 const BYTES_PER_TOKEN = 4;
 
-/** A generation without a reader is cancelled after this time. */
-const RESUME_GRACE_MS = 2_000;
+/** A generation is cancelled when its stream had no reader for this time and was not resumed. */
+const RESUME_TIMEOUT_MS = 2_000;
 
-/** Chunk length in tokens, as in the cache. */
+/** Length of a chunk in tokens; corresponds to `CHUNK_BYTES` of EngineCache.ts. */
 const CHUNK_TOKENS = 2_000;
 
 export interface IEngineOptions {
   readonly model: string;
   readonly weightsVersion: string;
   readonly prefillTokensPerSecond: number;
+  /** Time between two generated tokens. */
   readonly decodeMs: number;
+  /** Requests that run at the same time; others wait in the queue. */
   readonly maxRunning: number;
+  /** `ignore`: the engine also accepts orders with an old fencing number. */
   readonly fencing: 'strict' | 'ignore';
+  /** Age of the load that `reportLoad` returns. */
   readonly loadLagMs: number;
-  /** Time that one load of weights takes. */
+  /** Duration of one load of weights. */
   readonly loadMs: number;
-  /** Called when cached chunks are used that only other client accounts had sent. */
-  readonly onForeignHit?: (requestId: string, chunks: number) => void;
+  /** Called when a request uses cached chunks that only other client accounts have sent. */
+  readonly onForeignCacheHit?: (requestId: string, chunks: number) => void;
   readonly cache: IEngineCacheOptions;
 }
 
@@ -44,7 +51,7 @@
   readonly total_blocks: number;
 }
 
-/** An order to load weights. */
+/** A completed order to load weights. Times are wall-clock milliseconds. */
 export interface ICarriedOrder {
   readonly fence: number;
   readonly version: string;
@@ -52,33 +59,37 @@
   readonly finishedAt: number;
 }
 
-interface IQueued {
+interface IQueuedGeneration {
   readonly priority: number;
   readonly promptTokens: number;
   readonly start: () => void;
 }
 
-/** Test prompts name their client account in this form, since the engine sees no account. */
-const NONCE_PATTERN = /nonce ([a-z0-9]+)-/;
+/** Form in which test prompts name their client account, since requests to the engine do not. */
+const ACCOUNT_PATTERN = /nonce ([a-z0-9]+)-/;
 
-/** Test prompts tell in this form after how many tokens the generation ends by itself. */
-const STOP_PATTERN = /stop after (\d+)/;
+/** Form in which test prompts set the number of tokens after which the generation stops. */
+const STOP_AFTER_PATTERN = /stop after (\d+)/;
 
-/** The engine behind the HTTP server of `EngineServer.ts`. */
+/**
+ * Runs the generations and weight loads that `EngineServer.ts` receives over HTTP, and simulates their
+ * duration: prompts are computed one at a time, and up to `maxRunning` answers are generated together.
+ */
 export class Engine {
   public readonly incarnation = randomUUID();
   public weightsVersion: string;
-  /** Highest fencing number seen. */
+  /** Highest fencing number of the accepted orders. */
   public highestFence = 0;
-  /** Orders that were carried out, for checks from outside. Times are wall-clock milliseconds. */
+  /** Completed orders, for checks of tests. */
   public readonly orders: ICarriedOrder[] = [];
   private readonly _cache: EngineCache;
   private readonly _owners = new ChunkOwners();
   private readonly _streams = new Map<string, EngineStream>();
-  private readonly _queue: IQueued[] = [];
-  private readonly _loads: { at: number; report: ILoadReport }[] = [];
+  private readonly _queue: IQueuedGeneration[] = [];
+  private readonly _loadSamples: { at: number; report: ILoadReport }[] = [];
   private _running = 0;
-  private _prefill: Promise<void> = Promise.resolve();
+  /** Resolves when the last prompt that was queued for prefill is computed. */
+  private _prefillQueue: Promise<void> = Promise.resolve();
 
   constructor(private readonly _options: IEngineOptions) {
     this.weightsVersion = _options.weightsVersion;
@@ -96,30 +107,31 @@
     return this._streams.get(id);
   }
 
-  /** Starts a generation; the stream carries its events. */
+  /** Queues a generation and returns the stream of its events. */
   public generate(request: IGenerateRequest): EngineStream {
     const stream = new EngineStream(randomUUID(), request.requestId);
     this._streams.set(stream.id, stream);
     void this._run(request, stream).finally(() => {
-      setTimeout(() => this._streams.delete(stream.id), RESUME_GRACE_MS * 5).unref();
+      setTimeout(() => this._streams.delete(stream.id), RESUME_TIMEOUT_MS * 5).unref();
     });
     return stream;
   }
 
+  /** Events of the prefix cache after the sequence number `after`. */
   public listEvents(after: number): { seq: number; type: string; hash: string }[] {
     return this._cache
       .listEvents(after, performance.now())
       .map(({ seq, type, hash }) => ({ seq, type, hash }));
   }
 
-  /** The load as it was some time ago. */
+  /** Returns the load as it was `loadLagMs` ago. */
   public reportLoad(): ILoadReport {
     const visibleAt = performance.now() - this._options.loadLagMs;
-    const visible = this._loads.findLast((sample) => sample.at <= visibleAt);
+    const visible = this._loadSamples.findLast((sample) => sample.at <= visibleAt);
     return visible?.report ?? this._measureLoad();
   }
 
-  /** Loads weights. Returns false for an old fencing number in strict mode. */
+  /** Loads weights and clears the cache. Returns false for an old fencing number in strict mode. */
   public async loadWeights(fence: number, version: string): Promise<boolean> {
     if (this._options.fencing === 'strict' && fence < this.highestFence) {
       return false;
@@ -177,31 +189,31 @@
   private async _computePrompt(request: IGenerateRequest, promptTokens: number): Promise<number> {
     const chain = hashPrompt(request.cacheSalt, request.prompt);
     let cachedTokens = 0;
-    const step = this._prefill.then(async () => {
+    const step = this._prefillQueue.then(async () => {
       const cachedChunks = this._cache.touchPrefix(chain, performance.now());
       cachedTokens = cachedChunks * CHUNK_TOKENS;
-      this._checkOwners(request, chain, cachedChunks);
+      this._detectForeignHits(request, chain, cachedChunks);
       const missedTokens = promptTokens - cachedTokens;
       await delay((missedTokens / this._options.prefillTokensPerSecond) * 1_000);
       this._cache.insert(chain, performance.now());
     });
-    this._prefill = step;
+    this._prefillQueue = step;
     await step;
     return cachedTokens;
   }
 
-  private _checkOwners(
+  private _detectForeignHits(
     request: IGenerateRequest,
     chain: readonly string[],
     cachedChunks: number,
   ): void {
-    const account = NONCE_PATTERN.exec(request.prompt)?.[1];
+    const account = ACCOUNT_PATTERN.exec(request.prompt)?.[1];
     if (account === undefined) {
       return;
     }
     const foreign = this._owners.countForeign(chain, cachedChunks, account);
     if (foreign > 0) {
-      this._options.onForeignHit?.(request.requestId, foreign);
+      this._options.onForeignCacheHit?.(request.requestId, foreign);
     }
   }
 
@@ -212,12 +224,12 @@
     cachedTokens: number,
   ): Promise<void> {
     let abandonedAt: number | undefined;
-    const tokens = countOutput(request);
+    const tokens = countOutputTokens(request);
     for (let index = 0; index < tokens && !stream.isCancelled; index++) {
       stream.push(this._formatChunk(request, `t${index} `));
       await delay(this._options.decodeMs);
-      abandonedAt = stream.readers > 0 ? undefined : (abandonedAt ?? performance.now());
-      if (abandonedAt !== undefined && performance.now() - abandonedAt > RESUME_GRACE_MS) {
+      abandonedAt = stream.readerCount > 0 ? undefined : (abandonedAt ?? performance.now());
+      if (abandonedAt !== undefined && performance.now() - abandonedAt > RESUME_TIMEOUT_MS) {
         stream.cancel();
       }
     }
@@ -249,7 +261,7 @@
       choices: [{ index: 0, delta: {}, finish_reason: 'stop' }],
       usage: {
         prompt_tokens: promptTokens,
-        completion_tokens: countOutput(request),
+        completion_tokens: countOutputTokens(request),
         prompt_tokens_details: { cached_tokens: cachedTokens },
       },
     });
@@ -267,19 +279,19 @@
 
   private _sampleLoad(): void {
     const now = performance.now();
-    this._loads.push({ at: now, report: this._measureLoad() });
-    while ((this._loads[0]?.at ?? now) < now - this._options.loadLagMs - 1_000) {
-      this._loads.shift();
+    this._loadSamples.push({ at: now, report: this._measureLoad() });
+    while ((this._loadSamples[0]?.at ?? now) < now - this._options.loadLagMs - 1_000) {
+      this._loadSamples.shift();
     }
   }
 }
 
-function countOutput({ prompt, maxTokens }: IGenerateRequest): number {
-  const stopAfter = STOP_PATTERN.exec(prompt)?.[1];
+function countOutputTokens({ prompt, maxTokens }: IGenerateRequest): number {
+  const stopAfter = STOP_AFTER_PATTERN.exec(prompt)?.[1];
   return stopAfter === undefined ? maxTokens : Math.min(maxTokens, Number(stopAfter));
 }
 
-/** Lets the caller check that an answer belongs to its prompt. */
+/** Digest with which a caller checks that an answer belongs to its prompt. */
 export function digestPrompt(prompt: string): string {
   return createHash('sha256').update(prompt).digest('hex');
 }
--- a/fakes/EngineCache.ts
+++ b/fakes/EngineCache.ts
@@ -1,4 +1,4 @@
-/** Prefix cache of the fake engine: chunk hashes in limited memory, with an event stream. */
+/** Prefix cache of the fake engine: hashes of prompt chunks, with a limited size and a log of events. */
 import { createHash } from 'node:crypto';
 
 /** 2,000 tokens of about four bytes each. */
@@ -6,14 +6,14 @@
 
 const HASH_BYTES = 16;
 
-/** Events kept for readers that lag. */
+/** Number of events that are retained for readers that lag. */
 const MAX_EVENTS = 4_096;
 
 export interface ICacheEvent {
   readonly seq: number;
   readonly type: 'stored' | 'removed';
   readonly hash: string;
-  /** Events become visible only after the publishing delay. */
+  /** Time at which the event becomes visible to readers: its time plus `eventDelayMs`. */
   readonly visibleAt: number;
 }
 
@@ -21,12 +21,13 @@
   readonly capacityChunks: number;
   /** Chunks that were not used for this long are evicted. */
   readonly idleEvictionMs: number;
+  /** Time between a change of the cache and its event. */
   readonly eventDelayMs: number;
-  /** Share of events that are never published. */
+  /** Fraction of the events that are never published. */
   readonly eventLoss: number;
 }
 
-/** Hash chain over whole chunks of the prompt, seeded with the cache salt. */
+/** Computes a hash chain over the complete chunks of the prompt, seeded with the cache salt. */
 export function hashPrompt(salt: string, prompt: string): string[] {
   const bytes = Buffer.from(prompt);
   const hashes: string[] = [];
@@ -41,13 +42,13 @@
   return hashes;
 }
 
-/** Client accounts that sent each chunk to this engine since its weights were loaded. */
+/** Records which client accounts have sent each chunk to this engine since its weights were loaded. */
 export class ChunkOwners {
   private readonly _owners = new Map<string, Set<string>>();
 
   /**
-   * Counts the leading chunks that an account had not sent before, then records the whole chain. A
-   * cached chunk among them was computed for another account.
+   * Counts the chunks among the first `cachedChunks` that the account has not sent before, then records
+   * the whole chain for it. A counted chunk was computed for another account.
    */
   public countForeign(chain: readonly string[], cachedChunks: number, account: string): number {
     const foreign = chain
@@ -65,8 +66,12 @@
   }
 }
 
-/** Least-recently-used cache of chunk hashes. */
+/**
+ * Least-recently-used cache of chunk hashes. Also evicts chunks that have been idle for
+ * `idleEvictionMs`, and publishes an event for each stored or removed chunk.
+ */
 export class EngineCache {
+  /** Time of last use by chunk hash, least recently used first. */
   private readonly _chunks = new Map<string, number>();
   private readonly _events: ICacheEvent[] = [];
   private _nextSeq = 1;
@@ -77,7 +82,7 @@
     return this._chunks.size;
   }
 
-  /** Number of leading chunks of the chain that are cached; they count as used now. */
+  /** Returns how many leading chunks of the chain are cached, and marks them as used at `now`. */
   public touchPrefix(chain: readonly string[], now: number): number {
     this._evictIdle(now);
     let matched = 0;
@@ -85,7 +90,7 @@
       if (!this._chunks.has(hash)) {
         break;
       }
-      this._use(hash, now);
+      this._touch(hash, now);
       matched += 1;
     }
     return matched;
@@ -96,7 +101,7 @@
       if (!this._chunks.has(hash)) {
         this._addEvent('stored', hash, now);
       }
-      this._use(hash, now);
+      this._touch(hash, now);
     }
     while (this._chunks.size > this._options.capacityChunks) {
       this._evictOldest(now);
@@ -118,7 +123,7 @@
     this._events.length = 0;
   }
 
-  private _use(hash: string, now: number): void {
+  private _touch(hash: string, now: number): void {
     this._chunks.delete(hash);
     this._chunks.set(hash, now);
   }
--- a/fakes/EngineServer.ts
+++ b/fakes/EngineServer.ts
@@ -1,4 +1,4 @@
-/** HTTP protocol of the fake engine. */
+/** HTTP interface of the fake engine: generations, streams, load, cache events and weight orders. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { once } from 'node:events';
 import type { Engine } from './Engine.js';
@@ -18,7 +18,10 @@
   return messages.map(({ role, content }) => `${role ?? ''}:${content ?? ''}\n`).join('');
 }
 
-/** Creates the engine's server. `observe` sees each request, for checks of what reaches a target. */
+/**
+ * Creates the HTTP server of an engine. `observe` is called with each generation request, so that a test
+ * can check what reaches a target.
+ */
 export function createEngineServer(
   engine: Engine,
   observe: (request: IncomingMessage, body: unknown) => void,
@@ -85,8 +88,8 @@
   response: ServerResponse,
 ): Promise<void> {
   const order = await readJson(request);
-  const isDone = await engine.loadWeights(Number(order.fence), String(order.version));
-  if (isDone) {
+  const isLoaded = await engine.loadWeights(Number(order.fence), String(order.version));
+  if (isLoaded) {
     sendJson(response, 200, describeEngine(engine));
   } else {
     sendJson(response, 409, { error: 'old_fence', highest_fence: engine.highestFence });
@@ -123,7 +126,7 @@
 ): Promise<void> {
   const [, kind, id = ''] = /^\/(v1\/streams|kv)\/([^/]+)$/.exec(url.pathname) ?? [];
   if (kind === 'kv') {
-    handleKv(engine, id, request, response);
+    handleChunk(engine, id, request, response);
     return;
   }
   const stream = kind === undefined ? undefined : engine.getStream(id);
@@ -137,7 +140,7 @@
   }
 }
 
-function handleKv(
+function handleChunk(
   engine: Engine,
   hash: string,
   request: IncomingMessage,
@@ -211,9 +214,7 @@
     object: 'chat.completion',
     model: engine.model,
     prompt_digest: promptDigest,
-    choices: [
-      { index: 0, message: { role: 'assistant', content: content }, finish_reason: 'stop' },
-    ],
+    choices: [{ index: 0, message: { role: 'assistant', content }, finish_reason: 'stop' }],
     usage,
   });
 }
--- a/fakes/EngineStream.ts
+++ b/fakes/EngineStream.ts
@@ -1,13 +1,13 @@
-/** One generation of the fake engine. Its events can be read again from any id. */
+/** Event stream of one generation of the fake engine. */
 import { EventEmitter, once } from 'node:events';
 
-/** Generates the numbered events of one answer. */
+/** Stores the numbered events of one answer. Readers can start after any event, also repeatedly. */
 export class EngineStream {
   private readonly _events: string[] = [];
   private readonly _changes = new EventEmitter();
-  private _isDone = false;
+  private _isFinished = false;
   private _isCancelled = false;
-  private _readers = 0;
+  private _readerCount = 0;
 
   constructor(
     public readonly id: string,
@@ -16,16 +16,16 @@
     this._changes.setMaxListeners(0);
   }
 
-  public get isDone(): boolean {
-    return this._isDone;
+  public get isFinished(): boolean {
+    return this._isFinished;
   }
 
   public get isCancelled(): boolean {
     return this._isCancelled;
   }
 
-  public get readers(): number {
-    return this._readers;
+  public get readerCount(): number {
+    return this._readerCount;
   }
 
   public push(data: string): void {
@@ -34,7 +34,7 @@
   }
 
   public finish(): void {
-    this._isDone = true;
+    this._isFinished = true;
     this._changes.emit('change');
   }
 
@@ -43,22 +43,22 @@
     this.finish();
   }
 
-  /** Reads the events after the given id until the end of the stream. */
+  /** Yields the events after the given id, waiting for further ones until the stream ends. */
   public async *readAfter(id: number): AsyncGenerator<string> {
-    this._readers += 1;
+    this._readerCount += 1;
     try {
       let next = id;
       for (;;) {
         while (next < this._events.length) {
           yield this._events[next++] ?? '';
         }
-        if (this._isDone) {
+        if (this._isFinished) {
           return;
         }
         await once(this._changes, 'change');
       }
     } finally {
-      this._readers -= 1;
+      this._readerCount -= 1;
     }
   }
 }
--- a/fakes/PlainServer.ts
+++ b/fakes/PlainServer.ts
@@ -1,11 +1,14 @@
-/** Fake plain service: lookups and non-repeatable calls whose effects go to a ledger file. */
+/**
+ * Fake plain service with lookups and non-repeatable calls. The effects of the calls are recorded in a
+ * ledger file, so that a test can find calls that ran twice or never.
+ */
 import { appendFileSync } from 'node:fs';
 import { randomUUID } from 'node:crypto';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 import { readBody, sendJson } from './Http.js';
 
-/** One effect of a non-repeatable call. */
+/** One execution of a non-repeatable call. */
 export interface IEffect {
   readonly effectId: string;
   readonly target: string;
@@ -15,7 +18,7 @@
 
 export interface IPlainOptions {
   readonly target: string;
-  /** Effects are appended here as JSON lines, so that they survive a crash of the fake. */
+  /** File to which effects are appended as JSON lines, so that they survive a crash of the fake. */
   readonly ledgerFile: string | undefined;
 }
 
@@ -23,11 +26,11 @@
   readonly order?: unknown;
   /** Time between the effect and the answer. */
   readonly delayMs?: number;
-  /** True: the connection breaks after the effect. */
+  /** True: the connection is closed after the effect, without an answer. */
   readonly dropAnswer?: boolean;
 }
 
-/** Creates the server of a plain service. `observe` sees each request. */
+/** Creates the server of a plain service. `observe` is called with each request for the service. */
 export function createPlainServer(
   options: IPlainOptions,
   observe: (request: IncomingMessage, body: unknown) => void,
--- a/fakes/StoreServers.ts
+++ b/fakes/StoreServers.ts
@@ -1,9 +1,9 @@
-/** Fake KV-cache store and fake rate-limited weight store. */
+/** Fake KV-cache store and fake weight store with limited throughput. */
 import { createServer, type Server } from 'node:http';
 import { setTimeout as delay } from 'node:timers/promises';
 import { readBody, sendJson } from './Http.js';
 
-/** Keeps blobs by path: PUT and GET. */
+/** Creates a store of up to `maxBlobs` blobs by path, with PUT and GET. The oldest is dropped for a new one. */
 export function createKvStoreServer(maxBlobs: number): Server {
   const blobs = new Map<string, Buffer>();
   return createServer((request, response) => {
@@ -28,19 +28,22 @@
         }
       },
       () => {
-        // An upload that broke off is not kept.
+        // The connection broke before the upload was complete; the blob is not stored.
         response.destroy();
       },
     );
   });
 }
 
-/** Serves any weights; more than `parallel` readers at once slow each other down. */
-export function createWeightStoreServer(readMs: number, parallel: number): Server {
+/**
+ * Creates a store that answers any path after `readMs`, or proportionally later when more than
+ * `maxParallelReaders` read at once.
+ */
+export function createWeightStoreServer(readMs: number, maxParallelReaders: number): Server {
   let readers = 0;
   return createServer((_request, response) => {
     readers += 1;
-    const slowdown = Math.max(1, readers / parallel);
+    const slowdown = Math.max(1, readers / maxParallelReaders);
     void delay(readMs * slowdown).then(() => {
       readers -= 1;
       sendJson(response, 200, { readers });
--- a/fakes/main.ts
+++ b/fakes/main.ts
@@ -1,4 +1,4 @@
-/** Starts one fake: `fakes engine|plain|kv-store|weight-store --listen IP:PORT ...`. */
+/** Entry point that starts one fake: `fakes engine|plain|kv-store|weight-store --listen IP:PORT ...`. */
 import { appendFileSync } from 'node:fs';
 import { parseArgs } from 'node:util';
 import { createServer, type IncomingMessage, type Server } from 'node:http';
@@ -28,14 +28,14 @@
   'load-ms': { type: 'string', default: '300' },
 } as const;
 
-/** Callers' keys begin like this; none may reach a target. */
-const KEY_PATTERN = /rww_[0-9a-z]+_/i;
+/** Beginning of a caller's key. The router must not forward any to a target. */
+const CALLER_KEY_PATTERN = /rww_[0-9a-z]+_/i;
 
 const { values, positionals } = parseArgs({ options: OPTIONS, allowPositionals: true });
 let leakedKeys = 0;
 let requests = 0;
 
-/** Appends to a file, so that a finding survives a crash of the fake. */
+/** Appends a violation to the file of `--violations`, so that it survives a crash of the fake. */
 function recordViolation(kind: string, requestId: string): void {
   if (values.violations !== undefined) {
     const line = JSON.stringify({ kind, target: values.target, requestId });
@@ -46,7 +46,7 @@
 function observeRequest(request: IncomingMessage, body: unknown): void {
   requests += 1;
   const text = `${request.url ?? ''} ${request.rawHeaders.join(' ')} ${JSON.stringify(body)}`;
-  if (KEY_PATTERN.test(text)) {
+  if (CALLER_KEY_PATTERN.test(text)) {
     leakedKeys += 1;
     recordViolation('leaked_key', String(request.headers['x-request-id'] ?? ''));
   }
@@ -62,7 +62,7 @@
     fencing: values.fencing === 'ignore' ? 'ignore' : 'strict',
     loadLagMs: Number(values['load-lag-ms']),
     loadMs: Number(values['load-ms']),
-    onForeignHit: (requestId) => {
+    onForeignCacheHit: (requestId) => {
       recordViolation('foreign_cache_hit', requestId);
     },
     cache: {
