--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,7 @@
 import prettier from 'eslint-config-prettier';
 import tseslint from 'typescript-eslint';
 
-// Function names begin with a verb from the list in docs/naming.md.
+// Names of functions and methods must begin with a verb from the list in docs/naming.md.
 const verbs = readFileSync(new URL('docs/naming.md', import.meta.url), 'utf8')
   .split('<!-- verbs -->')[1]
   .trim()
@@ -16,7 +16,7 @@
   ...tseslint.configs.stylisticTypeChecked,
   prettier,
   {
-    // The adapter translates; the product knows nothing of it.
+    // platform/ adapts the product to its platform; the product must not depend on it.
     files: ['src/**/*.ts', 'fakes/**/*.ts', 'tools/**/*.ts'],
     rules: {
       'no-restricted-imports': ['error', { patterns: [{ group: ['**/platform/**'] }] }],
--- a/typings/redwingwharf.d.ts
+++ b/typings/redwingwharf.d.ts
@@ -1,28 +1,28 @@
 /**
- * Public interface of redwingwharf: what callers, operators and monitoring see. The settings and the
- * operator files are defined by the schemas in `schema/`.
+ * Public interface of redwingwharf for callers, operators and monitoring. The schemas in `schema/` define
+ * the settings and the operator files.
  */
 declare module 'redwingwharf' {
-  /** Body of every refusal and failure. */
+  /** Body of every answer with which the router refuses a request or reports a failure. */
   export interface IErrorBody {
     readonly error: {
-      /** Class of the error in the manner of the OpenAI API, for instance `rate_limit_error`. */
+      /** Class of the error as in the OpenAI API, for instance `rate_limit_error`. */
       readonly type: string;
       /** Stable code, for instance `rate_limited` or `outcome_unknown`. */
       readonly code: string;
-      /** What to do about it. */
+      /** Says what is wrong and what to do about it. */
       readonly message: string;
-      /** Names the request in logs and for `redwingwharf explain`. */
+      /** Identifies the request in logs and for `redwingwharf explain`. */
       readonly request_id: string;
     };
   }
 
   /**
-   * Response header `x-rww-ran` of refusals and failures.
+   * Response header `x-rww-ran` of refusals and failures: says whether the request ran.
    *
-   * - `no`: the request did not reach a target and never will.
-   * - `yes`: it reached one.
-   * - `unknown`: neither is provable.
+   * - `no`: the request has not reached a target and never will.
+   * - `yes`: the request has reached a target.
+   * - `unknown`: neither can be proved.
    */
   export type Ran = 'no' | 'yes' | 'unknown';
 
@@ -30,28 +30,28 @@
   export interface IResponseHeaders {
     readonly 'x-request-id': string;
     readonly 'x-rww-ran'?: Ran;
-    /** `true` when the recorded answer of an earlier attempt is given. */
+    /** `true` when the answer is the recorded one of an earlier attempt. */
     readonly 'x-rww-replayed'?: 'true';
-    /** Seconds until a new attempt makes sense. */
+    /** Seconds to wait before a new attempt. */
     readonly 'retry-after'?: string;
   }
 
-  /** Request headers with a meaning for the router. */
+  /** Request headers that the router interprets. */
   export interface IRequestHeaders {
     /** `Bearer KEY`. Also accepted: `x-api-key`, the cookie `rww_key`, the query parameter `api_key`. */
     readonly authorization?: string;
-    /** Names a non-repeatable call, so that a resend gets the answer of the first attempt. */
+    /** Identifies a non-repeatable call, so that a resend gets the answer of the first attempt. */
     readonly 'idempotency-key'?: string;
   }
 
-  /** Event `error` that ends a stream which cannot be completed. */
+  /** Event `error`, the last one of a stream that cannot be completed. */
   export interface IStreamErrorEvent extends IErrorBody {
     readonly event: 'error';
   }
 
   /** One line of the decision log, also printed by `redwingwharf explain REQUEST-ID`. */
   export interface IDecisionRecord {
-    /** ISO 8601. */
+    /** Time of the decision in ISO 8601. */
     readonly time: string;
     readonly requestId: string;
     readonly decision: 'refused' | 'routed' | 'retried' | 'resumed' | 'claimed' | 'finished';
@@ -67,7 +67,7 @@
     readonly candidates?: readonly ICandidateRecord[];
   }
 
-  /** One weighed target. */
+  /** A target that was considered, with the estimates on which the choice is based. */
   export interface ICandidateRecord {
     readonly targetId: string;
     readonly cachedTokens: number;
