--- a/model/claims.qnt
+++ b/model/claims.qnt
@@ -1,20 +1,20 @@
 // Claims for non-repeatable calls (docs/design.md, section 3.5).
 //
-// An attempt is one HTTP request of a caller, handled by one entry. An entry that crashes ends its
-// attempt. Each binding of a claim to a sidecar incarnation has a token (the log index of the command
-// that made it), and a ticket names that token.
+// An attempt is one HTTP request of a caller, handled by one entry; it ends when the entry crashes. Each
+// binding of a claim to a sidecar incarnation has a token, the log index of the command that created it.
+// A ticket carries the token of its binding.
 module claims {
-  // Name of the rule that is broken, or "none".
+  // Rule that this variant breaks, or "none".
   const VARIANT: str
   const KEYS: Set[int]
 
   type Outcome =
-    // Tombstone, or the connection to the target was refused: this token can never run here.
+    // A tombstone, or a refused connection to the target: the token can never run at this sidecar.
     | NotRun
     | Connecting
     | Connected
     | Finished(int)
-    // The connection broke after it was made.
+    // The connection broke after it was established: the call may or may not have run.
     | Unknown
 
   type Binding = { token: int, target: int, incarnation: int }
@@ -23,14 +23,14 @@
 
   type Phase =
     | Idle
-    // The command to the leader is under way.
+    // The attempt sent a bind command to the leader, or waits to send it again.
     | Asking
-    // A claim that another attempt made is bound to this binding; the bound sidecar has to be asked.
+    // Another attempt created the binding of the claim; the bound sidecar has to be queried.
     | Querying
-    // The token was granted to this attempt; the ticket was not sent yet.
+    // The token is granted to this attempt; the ticket is not sent yet.
     | Granted
     | Waiting
-    // The binding is known not to have run and never to run.
+    // It is proved that the binding has not run and never will.
     | Proven
     | Answering(int)
     | Ended
@@ -38,13 +38,15 @@
   type Attempt = {
     key: int,
     phase: Phase,
-    // Binding the attempt works on; token 0 before the first answer of the leader.
+    // Current binding; its token is 0 before the first answer of the leader.
     binding: Binding,
-    // The bind command of the attempt that is not committed yet.
+    // Whether a bind command of the attempt is sent and not committed yet.
     hasCommand: bool,
-    // Token that the command proves "not run" for; 0 when it brings no proof.
+    // Token for which the command carries a proof of "not run"; 0 for no proof.
     proof: int,
+    // Binding that the command proposes; the leader adds the token.
     choice: Binding,
+    // Tokens for which the attempt has sent tickets.
     tokens: Set[int]
   }
 
@@ -62,23 +64,25 @@
   pure val NO_BINDING: Binding = { token: 0, target: 0, incarnation: 0 }
   pure val NO_RESPONSE = 0
 
-  // Tokens whose tickets are usually delivered late in this run. Without them nearly every ticket arrives
-  // before the claim could be bound again and run elsewhere.
+  // Tokens whose tickets are usually delivered late in this run. Without them, nearly every ticket would
+  // arrive before the claim can be bound again and run elsewhere.
   var slow: Set[int]
   // Replicated state of the control members.
   var claims: int -> Claim
   var lastToken: int
-  // Sidecars: the incarnation and what it holds in memory.
+  // Sidecars, by target: the current incarnation, and the outcomes by token that it holds in memory.
   var incarnations: int -> int
   var seen: int -> (int -> Outcome)
-  // Requests that reached a target and may take effect at any time or never.
+  // Requests that have reached a target and may take effect at any time or never.
   var pending: Set[Ticket]
+  // Messages that are sent and not received yet.
   var tickets: Set[Ticket]
   var replies: Set[Reply]
   var attempts: int -> Attempt
-  // What happened in fact, as seen from outside.
+  // History, which only the invariants read: effects at the targets and answers to the callers.
   var effects: List[Effect]
   var answers: Set[{ attempt: int, key: int, response: int }]
+  // Attempts whose caller received "not run".
   var toldNotRun: Set[int]
   // Attempts that began when the key already had an effect.
   var beganAfterEffect: Set[int]
@@ -128,7 +132,7 @@
   }
 
   // The entry chooses a target and sends a bind command. A caller may send the same key again at any
-  // time. With a proof the command asks to bind the claim again.
+  // time. A command with a proof requests that the claim be bound again.
   action ask(id: int): bool = {
     val a = attempts.get(id)
     nondet key = KEYS.oneOf()
@@ -154,8 +158,8 @@
     }
   }
 
-  // The leader commits the command, possibly after the attempt has ended. The answer may be lost; then
-  // the attempt stays in Asking and either gives up or asks again, without the proof.
+  // The leader commits the command, possibly after the attempt has ended. If the answer is lost, the
+  // attempt stays in Asking and either gives up or sends a new command, without the proof.
   action commitBind(id: int): bool = {
     val a = attempts.get(id)
     val isNew = not(claims.keys().contains(a.key))
@@ -211,8 +215,8 @@
     }
   }
 
-  // A ticket reaches the sidecar at any time. A ticket is sent once; in the variant "resendTicket" the
-  // HTTP client of the entry sends it again after a broken connection.
+  // A sidecar receives a ticket, at any time after it was sent. A ticket is sent once; in the variant
+  // "resendTicket" the HTTP client of the entry sends it again after a broken connection.
   action deliver(isLate: bool): bool = {
     val able = tickets.filter(t => isLate or not(slow.contains(t.binding.token)))
     all {
@@ -246,7 +250,7 @@
     { key: attempts.get(id).key, attempt: id, binding: { ...NO_BINDING, token: token } }
   }
 
-  // The sidecar opens a new connection to the target: it is refused, or the request goes out.
+  // The sidecar opens a new connection to the target: it is refused, or the request is sent.
   action connect: bool = {
     nondet target = TARGETS.oneOf()
     val waiting = seen.get(target).keys().filter(t => seen.get(target).get(t) == Connecting)
@@ -273,7 +277,7 @@
     }
   }
 
-  // The target executes the request. The response reaches the sidecar only while the connection is up.
+  // The target executes the request. The response reaches the sidecar only if the connection is still open.
   action execute: bool = all {
     pending.size() > 0,
     nondet ticket = pending.oneOf()
@@ -320,7 +324,7 @@
     }
   }
 
-  // A sidecar restarts with a new incarnation and an empty memory.
+  // A sidecar restarts with a new incarnation and loses its memory.
   action restart: bool = {
     nondet target = TARGETS.oneOf()
     all {
@@ -336,8 +340,8 @@
     }
   }
 
-  // The entry gets a receipt or a response. It may be that of another request; the entry compares the
-  // ids and drops it then.
+  // The entry receives a receipt or a response. If it belongs to another request, the entry discards it
+  // after comparing the ids.
   action receive: bool = all {
     replies.size() > 0,
     nondet reply = replies.oneOf()
@@ -367,7 +371,8 @@
     },
   }
 
-  // QueryClaim, on a resend or after the connection to the sidecar broke. The answer may be lost.
+  // The entry calls QueryClaim, on a resend or after the connection to the sidecar broke. The answer may
+  // be lost.
   action query(id: int): bool = {
     val a = attempts.get(id)
     val b = a.binding
@@ -384,7 +389,7 @@
     val isLost = lost == 1
     all {
       or { a.phase == Querying, a.phase == Waiting },
-      // Connecting and Connected are "running": the caller gets 409 and resends later.
+      // Connecting and Connected are reported as "running": the caller gets 409 and resends later.
       outcome != Connecting,
       outcome != Connected,
       seen' =
@@ -430,9 +435,9 @@
     }
   }
 
-  // The entry refuses with "not run". It has a proof for the last binding that it knows of. An entry
-  // that has not learned the state of the claim must say "unknown" instead (abandon), because an
-  // earlier attempt with the same key may have run.
+  // The entry refuses with "not run", which requires a proof for the last binding that it knows. An entry
+  // that does not know the state of the claim must answer "unknown" instead (abandon), because an earlier
+  // attempt with the same key may have run.
   action refuse(id: int): bool = {
     val a = attempts.get(id)
     all {
@@ -466,7 +471,7 @@
     }
   }
 
-  // Failures and refusals are tried less often than the regular steps, so that random runs get far
+  // Failures and refusals are chosen less often than the regular steps, so that random runs get far
   // enough for a claim to be bound again.
   action step = {
     nondet id = ATTEMPTS.oneOf()
@@ -491,22 +496,23 @@
   // Each idempotency key has at most one effect.
   val atMostOnce: bool = KEYS.forall(k => effects.select(e => e.key == k).length() <= 1)
 
-  // No ticket of an attempt that was told "not run" has an effect, before or after the refusal.
+  // No ticket of an attempt that ended with "not run" has an effect, before or after the refusal.
   val notRunIsTrue: bool = toldNotRun.forall(id =>
     effects.select(e => attempts.get(id).tokens.contains(e.token)).length() == 0
   )
 
-  // "Not run" is told for a key only if no earlier attempt with that key had run when this one began.
+  // An attempt ends with "not run" only if no earlier attempt with its key had run when it began.
   val notRunForKey: bool = toldNotRun.intersect(beganAfterEffect) == Set()
 
-  // An answer is the answer of an effect of the same key.
+  // Each answer is the response of an effect with the same key.
   val answerIsOfEffect: bool = answers.forall(a => and {
     a.response > 100,
     a.response <= 100 + effects.length(),
     effects[a.response - 101].key == a.key,
   })
 
-  // States that the runs have to reach, so that the invariants are not checked on trivial runs only.
+  // Witnesses: states that some runs must reach, so that the invariants are not only checked on trivial
+  // runs.
   val ranAfterRebinding: bool = effects.select(e => e.token > 1).length() > 0
   val wasRefused: bool = toldNotRun != Set()
   val wasReplayed: bool = answers.exists(a => attempts.get(a.attempt).tokens == Set())
--- a/model/consensus.qnt
+++ b/model/consensus.qnt
@@ -1,20 +1,20 @@
 // Replicated log with membership changes and lost disks (docs/design.md, section 3.1).
 //
-// A member is a pair (member id, disk id). Disk ids are never used twice, so a disk id alone names the
-// pair; the record of a disk holds its member id. Processes do not crash otherwise: a frozen or isolated
-// process is one that takes no steps. Requests and their responses are one step, and a response may be
-// lost after the receiver has acted on the request.
+// The identity of a member consists of its member id and its disk id. Disk ids are never reused, so the
+// disk id alone identifies the member; the record of a disk holds its member id. Apart from losing its
+// disk, a process does not crash: a frozen or isolated process is one that takes no steps. A request and
+// its response are one step, and the response may be lost after the receiver has acted on the request.
 module consensus {
-  // Name of the rule that is broken, or "none".
+  // Rule that this variant breaks, or "none".
   const VARIANT: str
   // Voters at the start; disk i belongs to member i.
   const INITIAL_VOTERS: Set[int]
 
   type Entry = {
     term: int,
-    // Disk of the leader that appended the entry; with the term and the index it stands for the value.
+    // Disk of the leader that appended the entry. Together with term and index it represents the value.
     author: int,
-    // Configuration in force from this entry on.
+    // Membership in force from this entry on.
     voters: Set[int],
     learners: Set[int],
     // Disk that this entry promotes, or 0, and the commit index when the promotion was proposed.
@@ -32,7 +32,7 @@
     role: Role,
     votes: Set[int],
     log: List[Entry],
-    // Entries known to be stored on each other disk; leader only.
+    // On the leader: number of entries known to be stored on each other disk.
     matched: int -> int,
     commit: int
   }
@@ -46,12 +46,13 @@
   var disks: int -> Disk
   // Disks that may still be lost before the next repair is complete.
   var lossesLeft: int
-  // What happened in fact: all committed entries and the term in which each was committed.
+  // History, which only the invariants read: all committed entries, and the term in which each was
+  // committed.
   var committed: List[Entry]
   var committedIn: List[int]
-  // Whether a leader has committed another entry in place of a committed one.
+  // Whether a leader has committed a different entry at the index of a committed one.
   var isReplaced: bool
-  // Disks that were leader, by term.
+  // Disks that have been leader, by term.
   var leaders: int -> Set[int]
 
   pure def emptyDisk(member: int): Disk = {
@@ -106,7 +107,7 @@
     part == whole.slice(0, part.length()),
   }
 
-  // The disk as it is after it has seen a message of this term.
+  // State of the disk after a message of this term: a higher term makes it a follower without a vote.
   pure def seeTerm(d: Disk, term: int): Disk =
     if (term > d.term) { ...d, term: term, votedFor: 0, role: Follower, votes: Set() } else d
 
@@ -130,7 +131,7 @@
     }
   }
 
-  // A disk answers a vote request. The answer may be lost.
+  // A disk answers a vote request, and the answer may be lost.
   action vote: bool = {
     val candidates = alive.filter(i => disks.get(i).role == Candidate)
     all {
@@ -196,7 +197,7 @@
     },
   }
 
-  // A disk stores a part of the leader's log and acknowledges it. The acknowledgement may be lost.
+  // A disk stores a prefix of the leader's log and acknowledges it. The acknowledgement may be lost.
   action replicate: bool = all {
     leading.size() > 0,
     nondet i = leading.oneOf()
@@ -214,7 +215,7 @@
       val log = if (isPrefix(sent, follower.log)) follower.log else sent
       val known = if (leader.matched.keys().contains(f)) leader.matched.get(f) else 0
       all {
-        // A message that changes nothing is left out.
+        // Skips messages that change nothing.
         or { known < count, follower.term != disks.get(f).term, not(isAccepted) },
         disks' =
           if (not(isAccepted)) disks.set(i, seeTerm(leader, follower.term))
@@ -255,14 +256,15 @@
           entries.slice(0, min(k, committed.length())) !=
             committed.slice(0, min(k, committed.length())),
         },
-        // A repair is complete when the promotion of the new disk is committed.
+        // The commit of the new disk's promotion completes the repair; then another disk may be lost.
         lossesLeft' = if (news.select(e => e.promoted != 0).length() > 0) 1 else lossesLeft,
         leaders' = leaders,
       },
     },
   }
 
-  // One membership change at a time, and only after the leader has committed an entry of its own term.
+  // A leader changes the membership only after it has committed an entry of its own term, and only one
+  // change at a time.
   def mayChange(d: Disk): bool = and {
     d.log.length() < MAX_LOG,
     d.commit > 0,
@@ -291,11 +293,11 @@
     }
   }
 
-  // Other pairs of the same member among the voters.
+  // Other identities of the same member among the voters: the same member id with another disk.
   def oldPairs(i: int, voters: Set[int]): Set[int] =
     voters.filter(v => v != i and disks.get(v).member == disks.get(i).member)
 
-  // The member came back with a new disk: its old pair is removed.
+  // Removes the old identity of a member that returned with a new disk.
   action remove: bool = all {
     leading.size() > 0,
     nondet i = leading.oneOf()
@@ -328,7 +330,7 @@
     },
   }
 
-  // A learner is promoted once it holds everything that was committed when this is proposed.
+  // Promotes a learner that stores all entries that are committed when the promotion is proposed.
   action promote: bool = all {
     leading.size() > 0,
     nondet i = leading.oneOf()
@@ -345,8 +347,8 @@
     },
   }
 
-  // A voter loses its disk and returns with a new disk id and an empty log. One disk may be lost until
-  // the repair is complete.
+  // A voter loses its disk and returns with a new disk id and an empty log. No other disk may be lost
+  // until the repair is complete.
   action loseDisk: bool = all {
     lossesLeft > 0,
     val newDisk = disks.keys().size() + 1
@@ -383,7 +385,7 @@
 
   val oneLeaderPerTerm: bool = leaders.keys().forall(t => leaders.get(t).size() <= 1)
 
-  // A leader has every entry that was committed in its term or before.
+  // A leader stores every entry that was committed in its term or before.
   val committedIsKept: bool = and {
     not(isReplaced),
     leading.forall(i => committed.indices().forall(k =>
@@ -393,11 +395,11 @@
       })),
   }
 
-  // With one disk lost for each completed repair, a majority of the voters is always alive.
+  // While each lost disk is repaired before the next loss, a majority of the voters is always alive.
   val quorumIsAlive: bool = isMajority(alive, last(committed).voters)
 
-  // What was committed when the last promotion was proposed is on two living voters at least, also
-  // after another disk was lost.
+  // At least two living voters store what was committed when the last promotion was proposed, even after
+  // another disk is lost.
   val twoCopiesAfterRepair: bool = {
     val base = committed.foldl(0, (b, e) => if (e.promoted != 0) e.base else b)
     val holders = alive.intersect(last(committed).voters)
@@ -405,7 +407,8 @@
     base == 0 or holders.size() >= 2
   }
 
-  // States that the runs have to reach, so that the invariants are not checked on trivial runs only.
+  // Witnesses: states that some runs must reach, so that the invariants are not only checked on trivial
+  // runs.
   val repairIsComplete: bool = committed.select(e => e.promoted != 0).length() > 0
   val secondDiskIsLost: bool =
     repairIsComplete and disks.keys().filter(i => not(disks.get(i).isAlive)).size() >= 2
--- a/model/grants.qnt
+++ b/model/grants.qnt
@@ -1,13 +1,13 @@
 // Token grants of one client account (docs/design.md, section 3.4).
 //
-// Time is discrete. Logical time, which the ledger uses, may fall behind real time but never runs ahead
-// of it. Commands take effect between two ticks.
+// Time is discrete. The ledger uses logical time, which may lag behind real time but is never ahead of
+// it. Commands take effect between two ticks.
 module grants {
-  // Name of the rule that is broken, or "none".
+  // Rule that this variant breaks, or "none".
   const VARIANT: str
   const BURST: int // tokens
-  // Ticks of one second. With 2, an epoch has start instants in its middle; with 1, a run of the same
-  // number of steps covers twice the time.
+  // Ticks per second. With 2, intervals can also start in the middle of an epoch; with 1, a run of the
+  // same number of steps covers twice the time.
   const SECOND: int
 
   pure val RATE = 1 // tokens per tick
@@ -18,8 +18,9 @@
   pure val MAX_TIME = 16 // ticks
   pure val MAX_GRANTS = 6
 
-  // `left` is the part of the grant that still counts in `outstanding`. `reported` is the highest total
-  // of spent tokens that the ledger has seen. `spent` and `returned` are what the entry knows.
+  // A grant, as the ledger and the entry know it. Ledger: `left` are the tokens that still count in
+  // `outstanding`, `reported` is the highest total of spent tokens that it has received. Entry: `spent`
+  // and `returned`.
   type Grant = {
     sentAt: int,
     committedAt: int,
@@ -37,27 +38,27 @@
 
   type Message =
     | Want({ sentAt: int, amount: int })
-    // Total of spent tokens of a grant.
+    // All tokens of a grant that the entry has spent so far.
     | Spent({ grant: int, total: int })
     | Returned({ grant: int, amount: int })
-    // Unused part of an admission.
+    // Unused tokens of an admission.
     | Refund({ admission: int, amount: int })
 
-  // How rarely entries admit in this run, from 1 to 4. Runs with different values reach different
-  // states: unspent grants expire only when admissions are rare.
+  // How rarely entries admit requests in this run: 1, 2 or 4, with 4 the rarest. Runs with different
+  // values reach different states: unspent grants expire only when admissions are rare.
   var pace: int
   var now: int
   var logical: int
-  // Ledger.
+  // State of the ledger.
   var level: int
   var outstanding: int
   var grants: List[Grant]
-  // Shadow levels by epoch.
+  // Epoch limits: upper limits for level plus outstanding in refunds of grants of an epoch.
   var shadows: int -> int
-  // Messages to the ledger under way; each may arrive at any time or never.
+  // Messages that are sent to the ledger; each may arrive at any time or never.
   var messages: Set[Message]
   var admissions: List[Admission]
-  // Net admitted tokens since each start tick.
+  // Tokens admitted since each start tick, less unused ones.
   var admittedSince: int -> int
 
   action init = {
@@ -92,16 +93,16 @@
 
   def refill(value: int): int = min(BURST, value + RATE)
 
-  // What was not reported within EXPIRY of logical time counts as spent.
+  // Tokens that are not reported within EXPIRY ticks of logical time count as spent.
   pure def isExpired(g: Grant, t: int): bool = g.left > 0 and t - g.committedAt >= EXPIRY
 
-  // Real time advances; logical time follows, except around a failover.
+  // Real time advances, and logical time with it unless it lags, as around a failover.
   action tick: bool = {
     nondet isLagging = Set(1, 2, 3, 4, 5, 6).oneOf()
     val t = if (isLagging == 1) logical else logical + 1
     val gone = grants.foldl(0, (sum, g) => if (isExpired(g, t)) sum + g.left else sum)
     val o = outstanding - gone
-    // Expiry counts as reported spending, and it happens before the refill of the tick.
+    // Expired tokens count as reported spending, before the refill of the tick.
     val l =
       if (t == logical) level
       else if (VARIANT == "outstandingNotCounted") refill(level)
@@ -129,7 +130,7 @@
     }
   }
 
-  // An entry asks for as many tokens as it can get.
+  // An entry requests as many tokens as it can get.
   action want: bool = {
     val message = Want({ sentAt: now, amount: BURST })
     all {
@@ -143,7 +144,7 @@
     }
   }
 
-  // An entry admits a request with tokens of a grant while its lease lasts.
+  // An entry admits a request with tokens of a grant whose lease has not expired.
   action admit: bool = all {
     grants.length() > 0,
     nondet index = grants.indices().oneOf()
@@ -165,7 +166,7 @@
     },
   }
 
-  // An entry sends the total it has spent of a grant.
+  // An entry reports the total that it has spent of a grant.
   action report: bool = all {
     grants.length() > 0,
     nondet index = grants.indices().oneOf()
@@ -181,7 +182,7 @@
     },
   }
 
-  // An entry gives unspent tokens back; it cannot spend them from then on.
+  // An entry returns the unspent tokens of a grant and can't spend them any more.
   action giveBack: bool = all {
     grants.length() > 0,
     nondet index = grants.indices().oneOf()
@@ -200,7 +201,7 @@
     },
   }
 
-  // A request ends and used less than it was charged.
+  // A request that used less than it was charged ends, and its unused tokens are refunded.
   action settle: bool = all {
     admissions.length() > 0,
     nondet index = admissions.indices().oneOf()
@@ -217,8 +218,8 @@
     },
   }
 
-  // The ledger applies a message. The message may stay under way, because the entry sends it again
-  // when the answer was lost.
+  // The ledger applies a message. The message may arrive again, because the entry resends it when the
+  // answer is lost.
   action deliver: bool = all {
     messages.size() > 0,
     nondet message = messages.oneOf()
@@ -271,7 +272,7 @@
           }
         | Returned(m) => {
             val g = grants[m.grant]
-            // An entry returns all that it has left, once. What has expired stays spent.
+            // An entry returns all unspent tokens, once. Expired ones still count as spent.
             val back =
               if (VARIANT == "duplicateReturn") min(m.amount, outstanding)
               else if (g.isReturned) 0
@@ -330,18 +331,20 @@
     }
   }
 
-  // For every start tick, the net admitted tokens since then are at most rate x elapsed + burst.
+  // For every start tick, the tokens admitted since then, less unused ones, are at most
+  // rate x elapsed + burst.
   val withinRateAndBurst: bool = admittedSince.keys().forall(s =>
     admittedSince.get(s) <= RATE * (now - s) + BURST)
 
-  // The ledger's own bound.
+  // Level plus outstanding tokens of the ledger never exceed the burst, and neither is negative.
   val levelWithinBurst: bool = level >= 0 and outstanding >= 0 and level + outstanding <= BURST
 
   // No entry holds tokens that the ledger does not count as outstanding.
   val heldIsOutstanding: bool = grants.foldl(0, (sum, g) =>
     if (now < g.sentAt + LEASE) sum + g.amount - g.spent - g.returned else sum) <= outstanding
 
-  // States that the runs have to reach, so that the invariants are not checked on trivial runs only.
+  // Witnesses: states that some runs must reach, so that the invariants are not only checked on trivial
+  // runs.
   val refundWasApplied: bool = admissions.foldl(false, (found, a) => found or a.isRefunded)
   val refundMeetsCap: bool = messages.exists(message => match message {
     | Refund(m) => {
