--- a/fakes/Engine.ts
+++ b/fakes/Engine.ts
@@ -7,7 +7,7 @@
 import { ChunkOwners, EngineCache, hashPrompt, type IEngineCacheOptions } from './EngineCache.js';
 import { EngineStream } from './EngineStream.js';
 
-/** Average length of a token in UTF-8 bytes, from which prompt lengths are estimated. */
+/** Approximate length of a token in UTF-8 bytes, from which prompt lengths are estimated. */
 const BYTES_PER_TOKEN = 4;
 
 /** A generation is cancelled when its stream had no reader for this time and was not resumed. */
@@ -52,7 +52,7 @@
 }
 
 /** A completed order to load weights. Times are wall-clock milliseconds. */
-export interface ICarriedOrder {
+export interface ICompletedOrder {
   readonly fence: number;
   readonly version: string;
   readonly startedAt: number;
@@ -81,7 +81,7 @@
   /** Highest fencing number of the accepted orders. */
   public highestFence = 0;
   /** Completed orders, for checks of tests. */
-  public readonly orders: ICarriedOrder[] = [];
+  public readonly orders: ICompletedOrder[] = [];
   private readonly _cache: EngineCache;
   private readonly _owners = new ChunkOwners();
   private readonly _streams = new Map<string, EngineStream>();
