--- a/src/run/ControlRole.ts
+++ b/src/run/ControlRole.ts
@@ -1,4 +1,4 @@
-/** Builds the control role: disk, replicated log, state and node. */
+/** The control role of a process. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { IClock } from '../common/Clock.js';
 import type { ILog } from '../common/Log.js';
@@ -14,15 +14,15 @@
 import { ControlState } from '../state/ControlState.js';
 import { DataDirectory } from '../storage/DataDirectory.js';
 
-/** One control member. */
+/** Builds, runs and disposes of one control member: data directory, replicated log, state and node. */
 export class ControlRole {
   private constructor(
     public readonly node: ControlNode,
-    private readonly _log: ReplicatedLog,
-    private readonly _directory: DataDirectory,
+    private readonly _replicatedLog: ReplicatedLog,
+    private readonly _dataDirectory: DataDirectory,
   ) {}
 
-  /** Opens the disk; throws an error with the remedy when it is damaged or in use. */
+  /** Opens the data directory; throws an error that names the remedy if it is damaged or in use. */
   public static async open(
     role: IControlRole,
     address: string,
@@ -54,11 +54,11 @@
     return new ControlRole(node, opened.val, directory);
   }
 
-  /** Takes part in the group until the signal is aborted; rejects when the member fails. */
+  /** Takes part in the consensus group until the signal is aborted; rejects when the member fails. */
   public async run(signal: AbortSignal): Promise<void> {
-    this._log.start();
+    this._replicatedLog.start();
     await new Promise<void>((resolve, reject) => {
-      this._log.onFailure((error) => {
+      this._replicatedLog.onFailure((error) => {
         reject(error instanceof Error ? error : new Error(String(error)));
       });
       signal.addEventListener('abort', () => {
@@ -69,19 +69,22 @@
 
   public registerRpc(router: ConnectRouter): void {
     this.node.registerRpc(router);
-    router.service(ConsensusService, this._log.handlers);
+    router.service(ConsensusService, this._replicatedLog.handlers);
   }
 
   public async dispose(): Promise<void> {
-    await this._log.stop();
-    await this._directory.close();
+    await this._replicatedLog.stop();
+    await this._dataDirectory.close();
   }
 }
 
-/** Why a disk was not initialised. */
+/** Reasons for which a data directory is not initialised. */
 export type InitialiseFailure = IFailure<'not_empty' | 'unwritable' | 'no_control_role'>;
 
-/** Founds a new group on the disk of the control member that the settings describe. */
+/**
+ * Bootstraps a new consensus group in the data directory of the control member that the settings describe.
+ * Returns the id of the cluster in hexadecimal.
+ */
 export async function initialiseControl(
   settings: ILoadedSettings,
 ): Promise<Result<string, InitialiseFailure>> {
@@ -90,10 +93,10 @@
     const message = 'The settings have no control role; use those of a control member.';
     return Err({ kind: 'no_control_role', message });
   }
-  const founded = await initialiseDataFolder(control.dataFolder, control.memberId, internal);
-  if (founded.ok) {
-    return Ok(encodeHex(founded.val.clusterId));
+  const result = await initialiseDataFolder(control.dataFolder, control.memberId, internal);
+  if (result.ok) {
+    return Ok(encodeHex(result.val.clusterId));
   }
-  const { kind, message } = founded.val;
+  const { kind, message } = result.val;
   return Err({ kind: kind === 'not_empty' ? 'not_empty' : 'unwritable', message });
 }
--- a/src/run/EntryRole.ts
+++ b/src/run/EntryRole.ts
@@ -1,4 +1,4 @@
-/** Builds the entry role from its modules. */
+/** The entry role of a process. */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
 import { Admitter } from '../admission/Admitter.js';
@@ -44,17 +44,17 @@
 import { Roster, type IRosterTarget } from '../roster/Roster.js';
 import type { ILoadedSettings, IEntryRole } from '../settings/Types.js';
 
-/** Limits that differ from the defaults; for tests. */
+/** Replaces default limits in tests. */
 export interface IEntryOverrides {
   readonly queue?: Partial<IDispatchQueueOptions>;
   readonly limits?: IEntryLimits;
 }
 
-/** Everything that the entry role holds. */
+/** Builds, runs and disposes of the modules of an entry, and serves the RPCs of its roster. */
 export class EntryRole {
   public readonly entry: Entry;
   private readonly _roster = new Roster();
-  private readonly _decisions: DecisionLog;
+  private readonly _decisionLog: DecisionLog;
   private readonly _directory: Directory;
   private readonly _openRequests: OpenRequests;
   private readonly _chooser: Chooser;
@@ -75,12 +75,12 @@
     private readonly _overrides: IEntryOverrides = {},
   ) {
     const control = new ControlClient(rpc, role.control, log);
-    this._decisions = new DecisionLog(log);
+    this._decisionLog = new DecisionLog(log);
     const services: IFlowServices = {
       clock: _clock,
       log,
       metrics,
-      decisions: this._decisions,
+      decisions: this._decisionLog,
       feed: _feed,
       feedSync,
     };
@@ -158,7 +158,7 @@
       },
       getEntryStatus: () => this._describeStatus(),
       explain: ({ requestId }) =>
-        create(ExplainResponseSchema, { records: this._decisions.explain(requestId) }),
+        create(ExplainResponseSchema, { records: this._decisionLog.explain(requestId) }),
       drain: () => {
         this._onDrainRequested();
         return create(DrainResponseSchema, { openRequests: this._openRequests.size });
--- a/src/run/FleetProcess.ts
+++ b/src/run/FleetProcess.ts
@@ -1,4 +1,4 @@
-/** One process of a deployment whose targets announce themselves: entry, hub and member of the log. */
+/** One process of a deployment whose targets announce themselves. */
 import { setMaxListeners } from 'node:events';
 import { MonotonicClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
@@ -22,77 +22,82 @@
 import { InternalServer } from './InternalServer.js';
 import { MemberHost, type IMemberOptions } from './MemberHost.js';
 
-/** Covers the wait of a request in an engine's queue. */
+/** Covers the time that a request waits in an engine's queue. */
 const WEIGHTS_SOFT_MARGIN_MS = 3_500;
 
-/** Covers the way of a version to this process and of a request to an idle engine. */
+/** Covers the time until a named version reaches this process and a request reaches an idle engine. */
 const WEIGHTS_HARD_MARGIN_MS = 1_200;
 
 export interface IFleetProcessOptions {
   readonly dataCentre: string;
-  /** Address for calls between the processes, also the identity of this one. */
-  readonly internal: string;
+  /** Address for calls between the processes; also identifies this process. */
+  readonly internalAddress: string;
   readonly seeds: readonly string[];
   readonly clusterSecret: string;
+  /** Whether this process serves requests of clients. */
   readonly takesRequests: boolean;
   /** Undefined on machines without a disk. */
   readonly member: Omit<IMemberOptions, 'address' | 'listPeers'> | undefined;
-  readonly announceMs: number;
+  readonly announceIntervalMs: number;
   readonly quota: IQuotaTerms;
   readonly leaseMs: number;
-  /** A request may begin on older weights for this long after newer ones were named. */
-  readonly weightsLimitMs: number;
-  readonly retry: IRetryLimits;
+  /** Time for which requests may still begin on older weights after newer ones were named. */
+  readonly weightsRolloutLimitMs: number;
+  readonly retryBudget: IRetryLimits;
 }
 
-/** What the platform supplies. */
+/** Implementations that the adapter to a platform supplies. */
 export interface IFleetAdapters<T extends ICall> {
-  readonly decode: DocumentDecoder;
-  readonly client: ITargetClient<T>;
-  readonly orders: IEngineOrders;
-  readonly askStore: StoreQuestion;
+  readonly decodeDocument: DocumentDecoder;
+  readonly targetClient: ITargetClient<T>;
+  readonly engineClient: IEngineOrders;
+  readonly pollStore: StoreQuestion;
 }
 
+/**
+ * Builds and runs the modules of one process: the path of requests, the fleet node with its hub, the weights
+ * rollout and, on machines with a disk, the consensus member.
+ */
 export class FleetProcess<T extends ICall> {
   public readonly clock = new MonotonicClock();
   public readonly metrics = new Metrics();
   public readonly view: FleetView;
   public readonly node: FleetNode;
-  public readonly calls: CallRunner<T>;
+  public readonly callRunner: CallRunner<T>;
 
   private readonly _stop = new AbortController();
   private readonly _rpc: RpcClients;
-  private readonly _member: MemberHost | undefined;
+  private readonly _memberHost: MemberHost | undefined;
   private readonly _rollout: WeightsRollout;
-  private readonly _store: StoreIndex;
+  private readonly _storeIndex: StoreIndex;
   private readonly _server: InternalServer;
   private readonly _tasks: Promise<void>[] = [];
-  private _log: IFleetMember | undefined;
+  private _member: IFleetMember | undefined;
 
   constructor(
     private readonly _options: IFleetProcessOptions,
     adapters: IFleetAdapters<T>,
-    private readonly _logger: ILog,
+    private readonly _log: ILog,
   ) {
-    // Each call listens to this signal; Node takes more than ten listeners for a leak.
+    // Each call listens to this signal, and Node reports more than ten listeners as a leak.
     setMaxListeners(0, this._stop.signal);
-    const { internal, seeds, clusterSecret, dataCentre, member, takesRequests } = _options;
+    const { internalAddress, seeds, clusterSecret, dataCentre, member, takesRequests } = _options;
     const { clock, metrics } = this;
     const wallet = new QuotaWallet(_options.quota.windowMs);
     const states = new TargetStates();
     const holders = new PromptHolders();
     const placement = new Placement(dataCentre, holders);
     this._rpc = new RpcClients(clusterSecret);
-    this.view = new FleetView(adapters.decode, _logger);
+    this.view = new FleetView(adapters.decodeDocument, _log);
     this.node = new FleetNode(
       {
-        address: internal,
+        address: internalAddress,
         takesRequests,
         hub: {
-          announceMs: _options.announceMs,
+          announceMs: _options.announceIntervalMs,
           quota: _options.quota,
           processStartedAt: clock.now(),
-          log: _logger,
+          log: _log,
         },
       },
       this.view,
@@ -106,41 +111,41 @@
       },
       this._rpc,
       clock,
-      _logger,
+      _log,
       seeds,
     );
     this.view.onTargetLoss(({ id }) => {
       states.forget(id);
       holders.forgetTarget(id);
     });
-    this._store = new StoreIndex(this.view, adapters.askStore, clock, _logger);
-    this.calls = new CallRunner<T>({
+    this._storeIndex = new StoreIndex(this.view, adapters.pollStore, clock, _log);
+    this.callRunner = new CallRunner<T>({
       view: this.view,
       node: this.node,
       wallet,
-      budget: new SharedRetryBudget(_options.retry),
+      budget: new SharedRetryBudget(_options.retryBudget),
       states,
       placement,
-      store: this._store,
-      client: adapters.client,
+      store: this._storeIndex,
+      client: adapters.targetClient,
       clock,
       metrics,
-      log: _logger,
+      log: _log,
       quota: _options.quota,
       weights: {
-        softMs: _options.weightsLimitMs - WEIGHTS_SOFT_MARGIN_MS,
-        hardMs: _options.weightsLimitMs - WEIGHTS_HARD_MARGIN_MS,
+        softMs: _options.weightsRolloutLimitMs - WEIGHTS_SOFT_MARGIN_MS,
+        hardMs: _options.weightsRolloutLimitMs - WEIGHTS_HARD_MARGIN_MS,
       },
     });
-    this._member =
+    this._memberHost =
       member &&
       new MemberHost(
-        { ...member, address: internal, listPeers: () => this.node.listKnown() },
+        { ...member, address: internalAddress, listPeers: () => this.node.listKnown() },
         this._rpc,
         clock,
-        _logger,
+        _log,
         (opened) => {
-          this._log = opened;
+          this._member = opened;
           this.node.setMember(opened);
         },
         {
@@ -150,24 +155,25 @@
           },
         },
       );
-    this._rollout = this._createRollout(adapters.orders);
+    this._rollout = this._createRollout(adapters.engineClient);
     this._server = this._createServer();
   }
 
+  /** Starts the tasks of this process. A task that fails is logged and makes the exit code 1. */
   public async start(): Promise<void> {
     await this._server.listen();
     const { signal } = this._stop;
     const tasks = [this.node.run(signal), this.node.runHellos(signal), this._rollout.run(signal)];
-    if (this._member !== undefined) {
-      tasks.push(this._member.run(signal));
+    if (this._memberHost !== undefined) {
+      tasks.push(this._memberHost.run(signal));
     }
     if (this._options.takesRequests) {
-      tasks.push(this._store.run(signal));
+      tasks.push(this._storeIndex.run(signal));
     }
     for (const task of tasks) {
       this._tasks.push(
         task.catch((error: unknown) => {
-          this._logger.error('task failed', { reason: describeError(error) });
+          this._log.error('task failed', { reason: describeError(error) });
           process.exitCode = 1;
         }),
       );
@@ -181,33 +187,37 @@
     this._rpc.dispose();
   }
 
-  private _createRollout(orders: IEngineOrders): WeightsRollout {
-    const readLog = (): IFleetMember | undefined => this._log;
+  private _createRollout(engineClient: IEngineOrders): WeightsRollout {
+    const getMember = (): IFleetMember | undefined => this._member;
     const { node, view } = this;
     return new WeightsRollout(
       {
         getHub: (now) => node.getHub(now),
         getDueVersion: (model, now) =>
-          view.weights.getDue(model, this._options.weightsLimitMs - WEIGHTS_SOFT_MARGIN_MS, now),
+          view.weights.getDue(
+            model,
+            this._options.weightsRolloutLimitMs - WEIGHTS_SOFT_MARGIN_MS,
+            now,
+          ),
         get term() {
-          return readLog()?.log.status.term ?? 0;
+          return getMember()?.log.status.term ?? 0;
         },
         get weights() {
-          return readLog()?.state.weights ?? [];
+          return getMember()?.state.weights ?? [];
         },
       },
-      orders,
-      { holder: this._options.internal, leaseMs: this._options.leaseMs },
+      engineClient,
+      { holder: this._options.internalAddress, leaseMs: this._options.leaseMs },
       this.clock,
-      this._logger,
+      this._log,
     );
   }
 
   private _createServer(): InternalServer {
-    return new InternalServer(this._options.internal, this._options.clusterSecret, {
+    return new InternalServer(this._options.internalAddress, this._options.clusterSecret, {
       registerRpc: (router) => {
         this.node.registerRpc(router);
-        this._member?.registerRpc(router);
+        this._memberHost?.registerRpc(router);
       },
       handleDispatch: undefined,
       metrics: this.metrics,
--- a/src/run/InternalServer.ts
+++ b/src/run/InternalServer.ts
@@ -1,4 +1,4 @@
-/** HTTP server for calls from other processes of the deployment. */
+/** HTTP server on the internal address of a process. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { once } from 'node:events';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -12,22 +12,25 @@
   RPC_PATH_PREFIX,
 } from '../common/Rpc.js';
 
-/** Longer than callers keep idle connections, so that they close them first. */
+/** Longer than the calling processes keep idle connections, so that they close them first. */
 const KEEP_ALIVE_TIMEOUT_MS = 10_000;
 
-/** Tickets make the headers of a dispatch larger than usual. */
+/** Above Node's default, since the ticket is part of the headers of a dispatch. */
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** What the roles of this process serve. */
+/** Services that the roles of this process provide. */
 export interface IInternalServices {
   readonly registerRpc: (router: ConnectRouter) => void;
-  /** Handles dispatches; only sidecars have it. */
+  /** Handles dispatches; undefined in processes without a sidecar. */
   readonly handleDispatch:
     ((request: IncomingMessage, response: ServerResponse) => Promise<void>) | undefined;
   readonly metrics: Metrics;
 }
 
-/** Serves RPCs, dispatches and metrics on the internal address. */
+/**
+ * Serves RPCs and dispatches to other processes of the deployment, which present the cluster secret, and
+ * metrics to anyone.
+ */
 export class InternalServer {
   private readonly _server: Server;
 
--- a/src/run/MemberHost.ts
+++ b/src/run/MemberHost.ts
@@ -1,4 +1,4 @@
-/** Keeps the member of the replicated log of one process open, also after its disk failed. */
+/** Runs the consensus member of a process whose targets announce themselves. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
 import { Code, ConnectError } from '@connectrpc/connect';
@@ -20,42 +20,49 @@
 import { DataDirectory } from '../storage/DataDirectory.js';
 import { StorageError } from '../storage/StorageError.js';
 
-/** Pause before a disk that failed is opened again. */
-const REOPEN_MS = 1_000;
+/** Delay before the data directory is opened again after a failure. */
+const REOPEN_DELAY_MS = 1_000;
 
-/** Between two looks whether the kept targets have changed. */
-const KEEP_TARGETS_MS = 2_000;
+/** Interval of the checks whether the targets have changed and must be saved. */
+const TARGETS_SAVE_INTERVAL_MS = 2_000;
 
-/** File with the targets that were known last. */
+/** File with the targets that were saved last. */
 const TARGETS_FILE = 'targets';
 
-/** Longer than a planned restart (2 s), and than a machine counts as lost after its return (4 s). */
-const LOST_VOTER_MS = 6_000;
+/** Longer than a planned restart (2 s), and longer than a machine still counts as lost after its return (4 s). */
+const LOST_VOTER_TIMEOUT_MS = 6_000;
 
-/** A group that has shrunk to this still bears the loss of one. */
+/** Consensus groups don't shrink below this size, which still tolerates the loss of one member. */
 const MIN_VOTERS = 3;
 
-/** Bears the loss of three; more voters would only make each change wait for more disks. */
+/** Tolerates the loss of three members. With more voters, each change would only wait for more disks. */
 const MAX_VOTERS = 7;
 
-/** Soft state that shortens the time to the first answer after a restart of all processes. */
-export interface IKeptTargets {
+/**
+ * The targets of this process, which are saved and restored so that requests are served sooner after a restart
+ * of all processes. This is soft state: targets announce themselves again anyway.
+ */
+export interface ITargetCache {
   list(): readonly TargetRecord[];
   restore(records: readonly TargetRecord[]): void;
 }
 
 export interface IMemberOptions {
   readonly dataFolder: string;
-  /** Internal address; also the member's id, so that a new disk at the address replaces the old one. */
+  /** Internal address. It is also the member's id, so that a new disk at this address replaces the old one. */
   readonly address: string;
-  /** Addresses of processes to ask for admission, as known now. */
+  /** Returns the currently known addresses of processes that can admit this member to the consensus group. */
   readonly listPeers: () => readonly string[];
-  /** Members that may be lost at once, with their disks. */
+  /** Number of members that may be lost at the same time, with their disks. */
   readonly toleratedLosses: number;
-  /** True: this process founds the group if its disk is empty. */
-  readonly isFounder: boolean;
+  /** Whether this process bootstraps the consensus group if its data directory is empty. */
+  readonly mayBootstrap: boolean;
 }
 
+/**
+ * Opens the data directory and the replicated log, serves the consensus RPCs, and reopens both after a disk
+ * failure, so that the process stays in service. Also saves the targets of the process in the data directory.
+ */
 export class MemberHost {
   private _handlers: IConsensusHandlers | undefined;
 
@@ -65,7 +72,7 @@
     private readonly _clock: IClock,
     private readonly _log: ILog,
     private readonly _setMember: (member: IFleetMember | undefined) => void,
-    private readonly _targets: IKeptTargets,
+    private readonly _targetCache: ITargetCache,
   ) {}
 
   public registerRpc(router: ConnectRouter): void {
@@ -77,7 +84,7 @@
     });
   }
 
-  /** Takes part in the group until the signal is aborted; opens the disk anew after a failure. */
+  /** Takes part in the consensus group until the signal is aborted; reopens the data directory after a failure. */
   public async run(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       try {
@@ -87,7 +94,7 @@
       }
       this._handlers = undefined;
       this._setMember(undefined);
-      await sleep(REOPEN_MS, signal);
+      await sleep(REOPEN_DELAY_MS, signal);
     }
   }
 
@@ -100,7 +107,7 @@
       address: this._options.address,
       listPeers: this._options.listPeers,
       policy: {
-        lostVoterMs: LOST_VOTER_MS,
+        lostVoterMs: LOST_VOTER_TIMEOUT_MS,
         minVoters: Math.max(MIN_VOTERS, 2 * this._options.toleratedLosses + 1),
         maxVoters: MAX_VOTERS,
       },
@@ -115,22 +122,22 @@
       await directory.close();
       throw opened.val;
     }
-    const log = opened.val;
-    const failed = new AbortController();
-    log.onFailure((error) => {
+    const replicatedLog = opened.val;
+    const memberFailed = new AbortController();
+    replicatedLog.onFailure((error) => {
       this._log.error('member stopped', { reason: describeError(error) });
-      failed.abort();
+      memberFailed.abort();
     });
-    log.onRoleChange(({ role, term, leaderAddress }) => {
+    replicatedLog.onRoleChange(({ role, term, leaderAddress }) => {
       this._log.info('control role changed', { role, term, leaderAddress });
     });
     await this._restoreTargets(directory);
-    this._handlers = log.handlers;
-    this._setMember({ log, state });
-    log.start();
-    const ended = AbortSignal.any([signal, failed.signal]);
-    await this._keepTargets(directory, ended);
-    await log.stop();
+    this._handlers = replicatedLog.handlers;
+    this._setMember({ log: replicatedLog, state });
+    replicatedLog.start();
+    const stopSignal = AbortSignal.any([signal, memberFailed.signal]);
+    await this._saveTargets(directory, stopSignal);
+    await replicatedLog.stop();
     await directory.close();
   }
 
@@ -139,42 +146,42 @@
       const content = await directory.read(TARGETS_FILE);
       if (content !== undefined) {
         const { targets } = fromBinary(TargetListSchema, content);
-        this._targets.restore(targets);
+        this._targetCache.restore(targets);
         this._log.info('targets restored', { targets: targets.length });
       }
     } catch (error) {
-      // They announce themselves anew within a second or two.
-      this._log.warn('kept targets cannot be read', { reason: describeError(error) });
+      // Not fatal: targets announce themselves again within one or two seconds.
+      this._log.warn('saved targets cannot be read', { reason: describeError(error) });
     }
   }
 
-  /** Writes the targets down when they change, until the signal is aborted. */
-  private async _keepTargets(directory: DataDirectory, signal: AbortSignal): Promise<void> {
-    let written = '';
+  /** Saves the targets whenever they have changed, until the signal is aborted. */
+  private async _saveTargets(directory: DataDirectory, signal: AbortSignal): Promise<void> {
+    let savedFingerprint = '';
     while (!isAborted(signal)) {
-      await sleep(KEEP_TARGETS_MS, signal);
-      const targets = this._targets.list();
-      const current = describeTargets(targets);
-      if (current !== written && !isAborted(signal)) {
+      await sleep(TARGETS_SAVE_INTERVAL_MS, signal);
+      const targets = this._targetCache.list();
+      const fingerprint = buildFingerprint(targets);
+      if (fingerprint !== savedFingerprint && !isAborted(signal)) {
         await directory.replace(
           TARGETS_FILE,
           toBinary(TargetListSchema, create(TargetListSchema, { targets: [...targets] })),
         );
-        written = current;
+        savedFingerprint = fingerprint;
       }
     }
   }
 
   private async _initialiseIfEmpty(): Promise<void> {
-    const { isFounder, dataFolder, address } = this._options;
-    if (!isFounder) {
+    const { mayBootstrap, dataFolder, address } = this._options;
+    if (!mayBootstrap) {
       return;
     }
-    const founded = await initialiseDataFolder(dataFolder, address, address, true);
-    if (founded.ok) {
-      this._log.info('group founded', { member: address });
-    } else if (!(founded.val instanceof StorageError && founded.val.kind === 'not_empty')) {
-      throw founded.val;
+    const result = await initialiseDataFolder(dataFolder, address, address, true);
+    if (result.ok) {
+      this._log.info('consensus group bootstrapped', { member: address });
+    } else if (!(result.val instanceof StorageError && result.val.kind === 'not_empty')) {
+      throw result.val;
     }
   }
 
@@ -186,8 +193,8 @@
   }
 }
 
-/** Changes with whatever matters after a restart; the sequence of announcements does not. */
-function describeTargets(targets: readonly TargetRecord[]): string {
+/** Covers the fields that matter after a restart; the sequence number of announcements is not one of them. */
+function buildFingerprint(targets: readonly TargetRecord[]): string {
   return targets
     .map(({ id, born, phase, models }) => `${id} ${born} ${phase} ${models[0]?.version ?? ''}`)
     .join();
--- a/src/run/Process.ts
+++ b/src/run/Process.ts
@@ -1,4 +1,4 @@
-/** Runs the roles that the settings name in this process, until it is told to stop. */
+/** Runs the roles that the settings name in this process. */
 import type { ConnectRouter } from '@connectrpc/connect';
 import { setMaxListeners } from 'node:events';
 import { MonotonicClock, type IClock } from '../common/Clock.js';
@@ -15,24 +15,24 @@
 import { EntryRole } from './EntryRole.js';
 import { InternalServer } from './InternalServer.js';
 
-/** A sidecar checks no keys, so it copies none. Its copy is incomplete and is not served on. */
-const SIDECAR_ITEMS: readonly string[] = ['service/', 'clientAccount/', 'weights/'];
+/** A sidecar validates no API keys, so it copies none. Its feed copy is incomplete and isn't served to others. */
+const SIDECAR_ITEM_PREFIXES: readonly string[] = ['service/', 'clientAccount/', 'weights/'];
 
 /** Exit codes of `run`. */
 const EXIT_OK = 0;
 const EXIT_FAILED = 1;
 
-/** Longest wait of a sidecar for its open dispatches. */
+/** Longest time that a stopping sidecar waits for its open dispatches. */
 const SIDECAR_DRAIN_TIMEOUT_MS = 600_000;
 
-/** One process of the deployment. */
+/** Builds the roles of one process and the modules that they share, runs them, and drains them before it stops. */
 export class Process {
   private readonly _clock: IClock = new MonotonicClock();
   private readonly _metrics = new Metrics();
   private readonly _stop = new AbortController();
   private readonly _drainRequested = new AbortController();
   private readonly _rpc: RpcClients;
-  private readonly _copy = new FeedCopy();
+  private readonly _feedCopy = new FeedCopy();
   private readonly _feedClient: FeedClient;
   private _control: ControlRole | undefined;
   private readonly _entry: EntryRole | undefined;
@@ -43,15 +43,15 @@
     private readonly _settings: ILoadedSettings,
     private readonly _log: ILog,
   ) {
-    // Each task listens to this signal; Node takes more than ten listeners for a leak.
+    // Each task listens to this signal, and Node reports more than ten listeners as a leak.
     setMaxListeners(0, this._stop.signal);
     const { entry, sidecar, internal, clusterSecret } = _settings;
     this._rpc = new RpcClients(clusterSecret);
     this._feedClient = new FeedClient(
-      this._copy,
+      this._feedCopy,
       listFeedServers(_settings),
       _settings.instance,
-      sidecar === undefined ? [] : SIDECAR_ITEMS,
+      sidecar === undefined ? [] : SIDECAR_ITEM_PREFIXES,
       this._rpc,
       this._clock,
       _log,
@@ -61,7 +61,7 @@
       new EntryRole(
         _settings,
         entry,
-        this._copy,
+        this._feedCopy,
         this._feedClient,
         this._rpc,
         this._clock,
@@ -77,15 +77,18 @@
         sidecar,
         _settings.dataCentre,
         internal,
-        this._copy,
+        this._feedCopy,
         this._rpc,
-        new ControlClient(this._rpc, _settings.feed, _log, () => this._copy.leaderAddress),
+        new ControlClient(this._rpc, _settings.feed, _log, () => this._feedCopy.leaderAddress),
         this._clock,
         _log,
       );
   }
 
-  /** Runs until `signal` is aborted, then drains and stops. Returns the exit code. */
+  /**
+   * Runs until `signal` is aborted, a drain is requested or a task fails, then drains and stops. Returns the
+   * exit code.
+   */
   public async run(signal: AbortSignal): Promise<number> {
     const failed = new AbortController();
     const tasks: Promise<void>[] = [];
@@ -96,7 +99,7 @@
       tasks.push(...this._startTasks(failed));
       await this._entry?.entry.listen();
       this._log.info('started', { internal: this._settings.internal });
-      await waitAborted(signal, failed.signal, this._drainRequested.signal);
+      await waitForAbort(signal, failed.signal, this._drainRequested.signal);
       await this._drain(failed.signal);
     } catch (error) {
       this._log.error('process failed', { error: describeError(error) });
@@ -176,21 +179,21 @@
     router.service(FeedService, {
       sync: (request) => {
         const node = this._control?.node;
-        const source = node?.isOrigin === true ? node : this._copy;
+        const source = node?.isOrigin === true ? node : this._feedCopy;
         return source.sync(request, this._clock.now());
       },
     });
   }
 }
 
-/** The control role of this process is asked over the same interface as the others. */
+/** A control role in this process serves the feed over the same interface as those of other processes. */
 function listFeedServers(settings: ILoadedSettings): readonly string[] {
-  const own = settings.control === undefined ? [] : [settings.internal];
-  return [...new Set([...settings.feed, ...own])];
+  const ownAddress = settings.control === undefined ? [] : [settings.internal];
+  return [...new Set([...settings.feed, ...ownAddress])];
 }
 
 /** Waits until one of the signals is aborted. */
-async function waitAborted(...signals: readonly AbortSignal[]): Promise<void> {
+async function waitForAbort(...signals: readonly AbortSignal[]): Promise<void> {
   await new Promise<void>((resolve) => {
     const finish = (): void => {
       resolve();
@@ -204,7 +207,7 @@
   });
 }
 
-/** Runs one process with its log on standard output. */
+/** Runs one process that logs to standard output. Returns the exit code. */
 export async function runProcess(settings: ILoadedSettings, signal: AbortSignal): Promise<number> {
   const log = createLog(settings.instance, settings.logLevel, (line) => {
     process.stdout.write(`${line}\n`);
