--- a/tools/soak.ts
+++ b/tools/soak.ts
@@ -1,4 +1,7 @@
-/** Long randomised run: faults and load drawn from a seed, checked by a ledger outside the program. */
+/**
+ * Soak test: runs a deployment under random load and random faults, and checks the invariants from what
+ * clients, operators and targets recorded outside the program. Load and faults follow from a seed.
+ */
 import { readFileSync } from 'node:fs';
 import { setTimeout as delay } from 'node:timers/promises';
 import { parseArgs } from 'node:util';
@@ -28,17 +31,18 @@
   },
 });
 
-/** Account whose keys are withdrawn while its streams run. */
+/** Client account whose keys are withdrawn while its streams are open. */
 const WITHDRAWN_ACCOUNT = 'brac';
 
-/** Share of its requests that still carry the former key. */
-const FORMER_KEY_SHARE = 0.3;
+/** Probability that a request of this account still carries the previous key. */
+const PREVIOUS_KEY_PROBABILITY = 0.3;
 
-const QUIET_TIMEOUT_MS = 60_000;
+/** Longest wait for the open requests after the load has stopped. */
+const OPEN_REQUESTS_TIMEOUT_MS = 60_000;
 
-const STALL_INTERVAL_MS = 50;
+const STALL_CHECK_INTERVAL_MS = 50;
 
-/** State of one run. */
+/** One run: starts load and faults on a deployment, checks the invariants and prints the summary. */
 class Soak {
   private readonly _records = new Records();
   private readonly _invariants = new Invariants(report, INVARIANTS);
@@ -48,15 +52,18 @@
   private readonly _watch: StatusWatch;
   private readonly _schedule: FaultSchedule;
   private readonly _keys = new Map<string, ISoakKey>();
-  private _formerKey: ISoakKey | undefined;
-  /** Longest time for which this process got no processor; the limits in the checks suffer from it. */
+  private _previousKey: ISoakKey | undefined;
+  /**
+   * Longest time for which this process did not run, measured as the delay of a timer. After a long stall, the
+   * time limits of the checks can fail without a fault of the program.
+   */
   private _longestStallMs = 0;
 
   constructor(
     private readonly _deployment: Deployment,
     private readonly _seed: number,
-    private readonly _seconds: number,
-    kinds: readonly string[],
+    private readonly _durationSeconds: number,
+    faultKinds: readonly string[],
   ) {
     this._random = new Random(_seed);
     const operatorRandom = new Random(_seed + 1);
@@ -64,21 +71,21 @@
     this._network = new Network(_deployment);
     const secret = readFileSync(_deployment.secretFile, 'utf8').trim();
     this._watch = new StatusWatch(_deployment, this._operator, this._invariants, secret);
-    this._schedule = new FaultSchedule(new Random(_seed + 2), report, kinds);
+    this._schedule = new FaultSchedule(new Random(_seed + 2), report, faultKinds);
   }
 
-  /** True when one of these invariants was violated. */
-  public hasViolated(names: readonly Invariant[]): boolean {
+  /** True if at least one of these invariants was violated. */
+  public hasViolation(names: readonly Invariant[]): boolean {
     return names.some((name) => this._invariants.isViolated(name));
   }
 
-  /** Runs load and faults, then checks; returns true when every invariant held. */
+  /** Runs load and faults, then the final checks; returns true if no invariant was violated. */
   public async run(): Promise<boolean> {
     await this._prepare();
     const stopLoad = new AbortController();
     const stopWatch = new AbortController();
-    const watching = this._watch.run(stopWatch.signal);
-    const stallTimer = this._watchStalls();
+    const statusWatch = this._watch.run(stopWatch.signal);
+    const stallTimer = this._startStallTimer();
     await delay(1_000);
     const loads = ACCOUNTS.map((account, index) =>
       new AccountLoad(
@@ -92,26 +99,33 @@
         new Random(this._seed * 100 + index),
       ).run(stopLoad.signal),
     );
-    const stopFaults = AbortSignal.timeout(this._seconds * 1_000);
+    const stopFaults = AbortSignal.timeout(this._durationSeconds * 1_000);
     await this._schedule.run(this._buildFaultContext(), stopFaults);
     this._network.restoreAll();
     stopLoad.abort();
-    report('load ends');
-    await Promise.race([Promise.all(loads), delay(QUIET_TIMEOUT_MS, undefined, { ref: false })]);
+    report('load stopped');
+    await Promise.race([
+      Promise.all(loads),
+      delay(OPEN_REQUESTS_TIMEOUT_MS, undefined, { ref: false }),
+    ]);
     stopWatch.abort();
     clearInterval(stallTimer);
-    await watching;
+    await statusWatch;
     return this._finish();
   }
 
-  private _watchStalls(): NodeJS.Timeout {
-    let dueAt = performance.now() + STALL_INTERVAL_MS;
+  /** Starts a timer that measures how late it fires; the caller clears it. */
+  private _startStallTimer(): NodeJS.Timeout {
+    let dueAt = performance.now() + STALL_CHECK_INTERVAL_MS;
     return setInterval(() => {
       this._longestStallMs = Math.max(this._longestStallMs, performance.now() - dueAt);
-      dueAt = performance.now() + STALL_INTERVAL_MS;
-    }, STALL_INTERVAL_MS);
+      dueAt = performance.now() + STALL_CHECK_INTERVAL_MS;
+    }, STALL_CHECK_INTERVAL_MS);
   }
 
+  /**
+   * Starts the deployment, publishes its services, issues the keys and waits until all entries serve.
+   */
   private async _prepare(): Promise<void> {
     const deployment = this._deployment;
     await deployment.start();
@@ -129,9 +143,9 @@
         this._keys.set(id, key);
       }
     }
-    const probe = this._getProbeKey();
+    const probeKey = this._getProbeKey();
     for (const entry of deployment.listEntries()) {
-      await deployment.waitForAnswer(entry, probe.text);
+      await deployment.waitForAnswer(entry, probeKey.text);
     }
     report(`deployment serves; logs are in ${deployment.folder}`);
   }
@@ -139,14 +153,17 @@
   private _getProbeKey(): ISoakKey {
     const key = this._keys.get('pag');
     if (key === undefined) {
-      throw new Error('no key was given');
+      throw new Error('no key was issued for client account "pag"');
     }
     return key;
   }
 
   private _getKey(account: string): ISoakKey | undefined {
-    const isFormer = account === WITHDRAWN_ACCOUNT && this._random.next() < FORMER_KEY_SHARE;
-    return isFormer && this._formerKey !== undefined ? this._formerKey : this._keys.get(account);
+    const isPreviousKey =
+      account === WITHDRAWN_ACCOUNT && this._random.next() < PREVIOUS_KEY_PROBABILITY;
+    return isPreviousKey && this._previousKey !== undefined
+      ? this._previousKey
+      : this._keys.get(account);
   }
 
   private _buildFaultContext(): Parameters<FaultSchedule['run']>[0] {
@@ -160,77 +177,79 @@
       probeKey: this._getProbeKey(),
       report,
       replaceKey: () => this._replaceKey(),
-      isAlone: () => this._schedule.isAlone(),
+      isOnlyControlFault: () => this._schedule.isOnlyControlFault(),
     };
   }
 
   private async _replaceKey(): Promise<ISoakKey | undefined> {
-    const next = await this._operator.giveKey(WITHDRAWN_ACCOUNT);
-    if (next === undefined) {
+    const newKey = await this._operator.giveKey(WITHDRAWN_ACCOUNT);
+    if (newKey === undefined) {
       return undefined;
     }
-    this._formerKey = this._keys.get(WITHDRAWN_ACCOUNT);
-    this._keys.set(WITHDRAWN_ACCOUNT, next);
-    return this._formerKey;
+    this._previousKey = this._keys.get(WITHDRAWN_ACCOUNT);
+    this._keys.set(WITHDRAWN_ACCOUNT, newKey);
+    return this._previousKey;
   }
 
+  /** Runs the final checks and prints the summary; returns true if no invariant was violated. */
   private _finish(): boolean {
     const checks = new FinalChecks(this._deployment, this._records, this._invariants);
     checks.checkAll(ACCOUNTS);
-    const isKept = this._invariants.violations === 0;
+    const isPassed = this._invariants.violations === 0;
     const summary = {
       seed: this._seed,
-      seconds: this._seconds,
+      seconds: this._durationSeconds,
       break: values.break,
       requests: this._records.requests.length,
       answered: this._records.requests.filter(({ result }) => result.status === 200).length,
       timedOut: this._records.requests.filter(({ result }) => result.end === 'timeout').length,
       effects: checks.effects.length,
       invariants: this._invariants,
-      faults: Object.fromEntries([...this._schedule.counts].sort()),
-      rateRefusals: checks.countRefusals(ACCOUNTS),
+      faults: Object.fromEntries([...this._schedule.countsByKind].sort()),
+      rateRefusals: checks.countRateRefusals(ACCOUNTS),
       wrongfulRefusals: checks.countWrongfulRefusals(ACCOUNTS),
-      usePercent: checks.measureUse(ACCOUNTS, this._seconds),
-      orderMs: checks.measureOrders(),
+      usePercent: checks.measureUsePercent(ACCOUNTS, this._durationSeconds),
+      orderMs: checks.measureOrderMs(),
       longestStallMs: Math.round(this._longestStallMs),
-      ok: isKept,
+      ok: isPassed,
     };
-    if (!isKept) {
+    if (!isPassed) {
       const breakOption = values.break === undefined ? '' : ` --break ${values.break}`;
-      const command = `npm run soak -- --seed ${this._seed} --seconds ${this._seconds}${breakOption}`;
+      const command = `npm run soak -- --seed ${this._seed} --seconds ${this._durationSeconds}${breakOption}`;
       report(`to repeat: ${command}`);
     }
     process.stdout.write(`${JSON.stringify(summary)}\n`);
-    return isKept;
+    return isPassed;
   }
 }
 
+/** Returns the exit code. */
 async function runSoak(): Promise<number> {
-  const chosen = values.break === undefined ? undefined : findBreak(values.break);
-  const kinds = values.faults?.split(',') ?? chosen?.faults ?? [];
-  const deployment = await Deployment.create(buildPlan(chosen?.name));
+  const selectedBreak = values.break === undefined ? undefined : findBreak(values.break);
+  const faultKinds = values.faults?.split(',') ?? selectedBreak?.faultKinds ?? [];
+  const deployment = await Deployment.create(buildPlan(selectedBreak?.name));
   for (const signal of ['SIGINT', 'SIGTERM'] as const) {
     process.once(signal, () => {
       void deployment.stop().finally(() => process.exit(1));
     });
   }
-  let isKept = false;
-  let isExpected = false;
+  let isPassed = false;
+  let hasExpectedViolation = false;
   try {
-    const soak = new Soak(deployment, Number(values.seed), Number(values.seconds), kinds);
-    isKept = await soak.run();
-    isExpected = soak.hasViolated(chosen?.expected ?? INVARIANTS);
+    const soak = new Soak(deployment, Number(values.seed), Number(values.seconds), faultKinds);
+    isPassed = await soak.run();
+    hasExpectedViolation = soak.hasViolation(selectedBreak?.expectedViolations ?? INVARIANTS);
   } finally {
     await deployment.stop();
   }
-  if (isKept && !values['keep-logs']) {
+  if (isPassed && !values['keep-logs']) {
     deployment.deleteFolder();
   }
   if (!values['expect-violation']) {
-    return isKept ? 0 : 1;
+    return isPassed ? 0 : 1;
   }
-  process.stdout.write(`${isExpected ? '' : 'no '}violation found as expected\n`);
-  return isExpected ? 0 : 1;
+  process.stdout.write(`${hasExpectedViolation ? '' : 'no '}violation found as expected\n`);
+  return hasExpectedViolation ? 0 : 1;
 }
 
 if (values['list-breaks']) {
--- a/tools/soak/Breaks.ts
+++ b/tools/soak/Breaks.ts
@@ -1,114 +1,121 @@
-/** Mechanisms of the program that its test bundle can switch off, to prove that the soak notices. */
+/**
+ * Mechanisms that a test switch of the program's test bundle can disable. A run with one of them disabled must
+ * find a violation, which proves that the checks of the soak detect the loss of the mechanism.
+ */
 
 import type { Invariant } from './Invariants.js';
 
+/** A mechanism that can be disabled. */
 export interface IBreak {
-  /** Value of REDWINGWHARF_BREAK. */
+  /** Value of the environment variable REDWINGWHARF_BREAK. */
   readonly name: string;
+  /** What the program does wrong without the mechanism; printed by `--list-breaks`. */
   readonly summary: string;
-  /** Invariants of which at least one must be violated. */
-  readonly expected: readonly Invariant[];
-  /** Kinds of faults under which the mechanism matters; all if empty. */
-  readonly faults: readonly string[];
+  /** At least one of these invariants must be violated. */
+  readonly expectedViolations: readonly Invariant[];
+  /** Kinds of faults against which the mechanism protects, injected by default; all kinds if empty. */
+  readonly faultKinds: readonly string[];
 }
 
 export const BREAKS: readonly IBreak[] = [
   {
     name: 'claim-table',
-    expected: ['a_once', 'b_not_run'],
+    expectedViolations: ['a_once', 'b_not_run'],
     summary: 'the sidecar forgets which claim attempts it has seen or refused',
-    faults: ['slow_links', 'freeze_sidecar', 'cut_link'],
+    faultKinds: ['slow_links', 'freeze_sidecar', 'cut_link'],
   },
   {
     name: 'claim',
-    expected: ['a_once'],
+    expectedViolations: ['a_once'],
     summary: 'the entry dispatches non-repeatable calls without a claim',
-    faults: ['kill_entry', 'slow_links'],
+    faultKinds: ['kill_entry', 'slow_links'],
   },
   {
     name: 'rebind-proof',
-    expected: ['a_once', 'b_not_run'],
+    expectedViolations: ['a_once', 'b_not_run'],
     summary: 'a claim is bound to another target without proof that nothing ran',
-    faults: ['kill_sidecar', 'freeze_sidecar', 'cut_link'],
+    faultKinds: ['kill_sidecar', 'freeze_sidecar', 'cut_link'],
   },
   {
     name: 'sidecar-incarnation',
-    expected: ['a_once', 'b_not_run'],
-    summary: 'a restarted sidecar answers for the claims of its former life',
-    faults: ['kill_sidecar'],
+    expectedViolations: ['a_once', 'b_not_run'],
+    summary: 'a restarted sidecar answers for the claims of its previous incarnation',
+    faultKinds: ['kill_sidecar'],
   },
   {
     name: 'key-freshness',
-    expected: ['d_withdrawn', 'f_configuration'],
-    summary: 'keys are accepted however old the copy of the configuration is',
-    faults: ['isolate_entry', 'withdraw_key', 'operator_race'],
+    expectedViolations: ['d_withdrawn', 'f_configuration'],
+    summary: 'keys are accepted regardless of the age of the configuration copy',
+    faultKinds: ['isolate_entry', 'withdraw_key', 'operator_race'],
   },
   {
     name: 'open-streams',
-    expected: ['d_withdrawn'],
-    summary: 'open streams go on when their key is withdrawn',
-    faults: ['withdraw_key'],
+    expectedViolations: ['d_withdrawn'],
+    summary: 'open streams continue after their key is withdrawn',
+    faultKinds: ['withdraw_key'],
   },
   {
     name: 'plain-refunds',
-    expected: ['e_rate'],
-    summary: 'a refund raises the bucket up to the burst, whatever was refilled since',
-    faults: ['change_rate'],
+    expectedViolations: ['e_rate'],
+    summary:
+      'a refund fills the bucket up to the burst, regardless of the refill since the reservation',
+    faultKinds: ['change_rate'],
   },
   {
     name: 'grant-lease',
-    expected: ['e_rate'],
+    expectedViolations: ['e_rate'],
     summary: 'the entry spends granted tokens after the end of their lease',
-    faults: ['isolate_entry', 'freeze_entry'],
+    faultKinds: ['isolate_entry', 'freeze_entry'],
   },
   {
     name: 'feed-revert',
-    expected: ['f_configuration'],
-    summary: 'a copy of the configuration accepts older revisions',
-    faults: ['isolate_entry', 'cut_link', 'operator_race'],
+    expectedViolations: ['f_configuration'],
+    summary: 'a configuration copy accepts older revisions than its own',
+    faultKinds: ['isolate_entry', 'cut_link', 'operator_race'],
   },
   {
     name: 'version-check',
-    expected: ['f_configuration'],
+    expectedViolations: ['f_configuration'],
     summary: 'a change is accepted under a version that is already taken',
-    faults: ['operator_race'],
+    faultKinds: ['operator_race'],
   },
   {
     name: 'drain-notice',
-    expected: ['h_no_new_work'],
-    summary: 'a draining sidecar neither announces it nor refuses new work',
-    faults: ['drain_target'],
+    expectedViolations: ['h_no_new_work'],
+    summary: 'a draining sidecar neither announces that it drains nor refuses new requests',
+    faultKinds: ['drain_target'],
   },
   {
     name: 'graceful-drain',
-    expected: ['i_graceful'],
-    summary: 'an entry stops at once on SIGTERM',
-    faults: ['graceful_restart'],
+    expectedViolations: ['i_graceful'],
+    summary: 'an entry exits immediately on SIGTERM, without a graceful shutdown',
+    faultKinds: ['graceful_restart'],
   },
   {
     name: 'forward-key',
-    expected: ['g_key_leak'],
+    expectedViolations: ['g_key_leak'],
     summary: "the caller's key is forwarded to the target",
-    faults: ['operator_race'],
+    faultKinds: ['operator_race'],
   },
   {
     name: 'cache-salt',
-    expected: ['j_cache'],
+    expectedViolations: ['j_cache'],
     summary: 'all client accounts share one cache salt',
-    faults: ['operator_race'],
+    faultKinds: ['operator_race'],
   },
   {
     name: 'stream-end',
-    expected: ['c_answers'],
-    summary: 'a stream that broke off is ended like a complete one',
-    faults: ['kill_target'],
+    expectedViolations: ['c_answers'],
+    summary: 'a broken stream is ended like a complete one',
+    faultKinds: ['kill_target'],
   },
 ];
 
+/** Throws if there is no break of that name. */
 export function findBreak(name: string): IBreak {
-  const found = BREAKS.find((candidate) => candidate.name === name);
-  if (found === undefined) {
-    throw new Error(`there is no break "${name}"; --list-breaks lists them`);
+  const match = BREAKS.find((candidate) => candidate.name === name);
+  if (match === undefined) {
+    throw new Error(`unknown break "${name}"; --list-breaks prints the allowed names`);
   }
-  return found;
+  return match;
 }
--- a/tools/soak/Faults.ts
+++ b/tools/soak/Faults.ts
@@ -1,23 +1,24 @@
-/** The faults that the soak injects. Each one undoes itself before it returns. */
+/** Faults that the soak injects. Each one restores the deployment before it returns. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Deployment } from '../harness/Deployment.js';
 import { sendCall } from './HttpCall.js';
 import type { Invariants } from './Invariants.js';
 import type { Network } from './Network.js';
 import type { Operator } from './Operator.js';
-import { LATE_TARGET } from './Plan.js';
+import { LATE_TARGET_ID } from './Plan.js';
 import type { Random } from './Random.js';
 import type { ISoakKey, Records } from './Records.js';
 
-/** A leaving or dead target gets no new work after this time. */
-const NO_NEW_WORK_MS = 4_000;
+/** Time after which a target whose sidecar drains or is dead must get no new requests. */
+const NO_NEW_WORK_DEADLINE_MS = 4_000;
 
-/** A restarted entry serves within this time. */
+/** Time within which a restarted entry must answer requests. */
 const RESTART_LIMIT_MS = 5_000;
 
+/** Longest wait for a restarted entry or for a replaced disk to become a voter. */
 const REPAIR_TIMEOUT_MS = 30_000;
 
-/** Everything that faults act on. */
+/** Deployment and tools that faults use, and the checks that they report to. */
 export interface IFaultContext {
   readonly deployment: Deployment;
   readonly network: Network;
@@ -25,38 +26,42 @@
   readonly records: Records;
   readonly invariants: Invariants;
   readonly random: Random;
-  /** Key that is never withdrawn. */
+  /** Key for probe requests; it is never withdrawn. */
   readonly probeKey: ISoakKey;
   report(line: string): void;
-  /** Replaces the key of the account whose keys are withdrawn; returns the former one. */
+  /**
+   * Issues a new key for the account whose keys are withdrawn. Returns the previous key, or undefined if no
+   * new key was issued.
+   */
   replaceKey(): Promise<ISoakKey | undefined>;
-  /** True while no other fault disturbs control. */
-  isAlone(): boolean;
+  /** True while no fault of another kind interrupts the control members. */
+  isOnlyControlFault(): boolean;
 }
 
 /** One kind of fault. */
 export interface IFault {
   readonly kind: string;
-  /** Processes that it may act on: one is picked. */
-  readonly subjects: (deployment: Deployment) => readonly string[];
-  /** Further processes that no other fault may touch at the same time. */
-  readonly claims?: (deployment: Deployment) => readonly string[];
+  /** Processes or resources that it may act on, of which one is selected. */
+  readonly listSubjects: (deployment: Deployment) => readonly string[];
+  /** Further subjects that no other fault may act on at the same time. */
+  readonly listFurtherSubjects?: (deployment: Deployment) => readonly string[];
   readonly run: (context: IFaultContext, subject: string) => Promise<void>;
 }
 
 const listEntries = (deployment: Deployment): readonly string[] => deployment.listEntries();
 
-/** Targets of the first start; the late one comes and goes on its own. */
+/** Targets that run from the start; only the fault `new_target` starts and kills the late one. */
 const listTargets = (deployment: Deployment): readonly string[] =>
-  deployment.listTargets().filter((id) => id !== LATE_TARGET);
+  deployment.listTargets().filter((id) => id !== LATE_TARGET_ID);
 
 const listSidecars = (deployment: Deployment): readonly string[] =>
   listTargets(deployment).map((id) => `sidecar-${id}`);
 
+/** Processes of the fake targets. */
 const listFakes = (deployment: Deployment): readonly string[] =>
   listTargets(deployment).map((id) => `fake-${id}`);
 
-const useOperator = (): readonly string[] => ['operator'];
+const listOperators = (): readonly string[] => ['operator'];
 
 function getTargetId(processName: string): string {
   return processName.replace(/^(sidecar|fake)-/, '');
@@ -68,10 +73,10 @@
   await deployment.getChild(entry)?.stop('SIGKILL');
 }
 
-/** Starts a stopped entry and measures how long it takes until it serves. */
+/** Starts a stopped entry and checks how long it takes to answer a request. */
 async function startEntry(context: IFaultContext, entry: string): Promise<void> {
   const { deployment, invariants, probeKey } = context;
-  const wasAlone = context.isAlone();
+  const wasOnlyControlFault = context.isOnlyControlFault();
   const startedAt = performance.now();
   deployment.startEntry(entry);
   let tookMs = Infinity;
@@ -90,12 +95,14 @@
     await delay(50);
   }
   if (tookMs > RESTART_LIMIT_MS) {
-    context.report(`${entry} was slow to serve: ${Math.round(tookMs)} ms, ${lastAnswer}`);
+    context.report(
+      `${entry} needed ${Math.round(tookMs)} ms to serve; last failed answer: ${lastAnswer}`,
+    );
   }
-  // Another fault at the same time may take the quorum or all targets away.
-  if (wasAlone && context.isAlone()) {
+  // A second fault may leave the control members without a quorum or the services without a target.
+  if (wasOnlyControlFault && context.isOnlyControlFault()) {
     invariants.check('k_restart', tookMs <= RESTART_LIMIT_MS, () => {
-      return `${entry} served ${Math.round(tookMs)} ms after its start`;
+      return `${entry} first served ${Math.round(tookMs)} ms after its start`;
     });
   }
 }
@@ -106,12 +113,13 @@
   await startEntry(context, entry);
 }
 
+/** Kills and restarts a sidecar; after a long outage, checks that its target got no new requests. */
 async function restartSidecar(context: IFaultContext, sidecar: string): Promise<void> {
   const { deployment, random } = context;
   const target = getTargetId(sidecar);
   await deployment.getChild(sidecar)?.stop('SIGKILL');
-  const isLong = random.next() < 0.4;
-  if (isLong) {
+  const isLongOutage = random.next() < 0.4;
+  if (isLongOutage) {
     await checkNoNewWork(context, target);
   } else {
     await delay(random.nextBetween(50, 2_500));
@@ -125,11 +133,12 @@
   context.deployment.startFake(getTargetId(fake));
 }
 
+/** Deletes the disks of two entries, one after the other. */
 async function replaceDisks(context: IFaultContext, entry: string): Promise<void> {
   await replaceDisk(context, entry);
-  const others = context.deployment.listEntries().filter((other) => other !== entry);
-  // A second loss right after the repair.
-  await replaceDisk(context, context.random.pick(others));
+  const otherEntries = context.deployment.listEntries().filter((other) => other !== entry);
+  // The second disk is lost as soon as the first member is a voter again.
+  await replaceDisk(context, context.random.pick(otherEntries));
 }
 
 async function replaceDisk(context: IFaultContext, entry: string): Promise<void> {
@@ -137,22 +146,23 @@
   context.deployment.deleteDisk(entry);
   await delay(context.random.nextBetween(100, 2_000));
   await startEntry(context, entry);
-  const isRepaired = await waitRepaired(context);
+  const isRepaired = await waitForVoters(context);
   context.invariants.check('k_restart', isRepaired, () => {
-    return `three voters were not back ${REPAIR_TIMEOUT_MS} ms after ${entry} lost its disk`;
+    return `some member was not a voter ${REPAIR_TIMEOUT_MS} ms after ${entry} lost its disk`;
   });
 }
 
+/** Part of the output of `status --json` for a control member. */
 interface IMemberStatus {
   readonly role?: string;
   readonly diskId?: string;
   readonly members?: readonly { readonly diskId: string; readonly voter: boolean }[];
 }
 
-/** Waits until a leader counts the present disk of each member as a voter. */
-async function waitRepaired({ deployment }: IFaultContext): Promise<boolean> {
-  const giveUpAt = performance.now() + REPAIR_TIMEOUT_MS;
-  while (performance.now() < giveUpAt) {
+/** Waits until a leader lists the current disk of each member as a voter; false after a time limit. */
+async function waitForVoters({ deployment }: IFaultContext): Promise<boolean> {
+  const deadlineAt = performance.now() + REPAIR_TIMEOUT_MS;
+  while (performance.now() < deadlineAt) {
     const result = await deployment.runOperator(['status', '--json', '--timeout', '3']);
     if (result.code === 0) {
       const { control } = JSON.parse(result.stdout) as { control: readonly IMemberStatus[] };
@@ -169,6 +179,7 @@
   return false;
 }
 
+/** Suspends a process without closing its connections. */
 async function freeze(context: IFaultContext, name: string): Promise<void> {
   const child = context.deployment.getChild(name);
   child?.signal('SIGSTOP');
@@ -176,7 +187,7 @@
   child?.signal('SIGCONT');
 }
 
-/** Cuts an entry off from one other process, in one or both directions. */
+/** Cuts the link between an entry and one other process, in one or both directions. */
 async function cutLink(context: IFaultContext, entry: string): Promise<void> {
   const { network, random, deployment } = context;
   const others = [...deployment.listEntries(), ...listSidecars(deployment)];
@@ -192,8 +203,11 @@
   network.restore(other, entry);
 }
 
-/** Cuts an entry off from all other entries, and with them from control. */
-async function cutEntryOff(context: IFaultContext, entry: string): Promise<void> {
+/**
+ * Cuts the links between an entry and all other entries, which isolates it from the other control
+ * members.
+ */
+async function cutEntryLinks(context: IFaultContext, entry: string): Promise<void> {
   const { network, random, deployment } = context;
   const others = deployment.listEntries().filter((other) => other !== entry);
   const cut = { holdSent: true, holdReceived: true };
@@ -208,7 +222,7 @@
   }
 }
 
-/** Slows the links between an entry and all sidecars. */
+/** Delays the data on the links from an entry to all sidecars. */
 async function delayLinks(context: IFaultContext, entry: string): Promise<void> {
   const { network, random, deployment } = context;
   const delayMs = Math.round(random.nextBetween(100, 1_500));
@@ -222,6 +236,7 @@
   }
 }
 
+/** Kills all entries at the same time and restarts them. */
 async function restartAll(context: IFaultContext): Promise<void> {
   const entries = context.deployment.listEntries();
   await Promise.all(entries.map((entry) => killEntry(context, entry)));
@@ -230,9 +245,9 @@
 }
 
 async function withdrawKey(context: IFaultContext): Promise<void> {
-  const former = await context.replaceKey();
-  if (former !== undefined) {
-    await context.operator.withdrawKey(former);
+  const previousKey = await context.replaceKey();
+  if (previousKey !== undefined) {
+    await context.operator.withdrawKey(previousKey);
   }
 }
 
@@ -242,8 +257,11 @@
   await operator.updateRate('cres', rate, Math.round(rate * random.nextBetween(2, 3)));
 }
 
-/** Requests that reached a target since its start; undefined while it does not answer. */
-async function countWork(context: IFaultContext, target: string): Promise<number | undefined> {
+/** Number of requests that a target got since its start; undefined while it does not answer. */
+async function countTargetRequests(
+  context: IFaultContext,
+  target: string,
+): Promise<number | undefined> {
   const answer = await sendCall(`${context.deployment.getTargetUrl(target)}/_observed`, {
     method: 'GET',
     headers: {},
@@ -254,15 +272,15 @@
     : undefined;
 }
 
-/** Checks that a target whose sidecar drains or is dead gets nothing after the limit. */
+/** Checks that a target whose sidecar drains or is dead gets no requests after the time limit. */
 async function checkNoNewWork(context: IFaultContext, target: string): Promise<void> {
-  await delay(NO_NEW_WORK_MS);
-  const before = await countWork(context, target);
+  await delay(NO_NEW_WORK_DEADLINE_MS);
+  const before = await countTargetRequests(context, target);
   await delay(1_500);
-  const after = await countWork(context, target);
+  const after = await countTargetRequests(context, target);
   if (before !== undefined && after !== undefined) {
     context.invariants.check('h_no_new_work', before === after, () => {
-      return `${target} got ${after - before} requests more than 4 s after it left`;
+      return `${target} got ${after - before} requests more than 4 s after its sidecar began to drain or died`;
     });
   }
 }
@@ -277,47 +295,62 @@
   deployment.startSidecar(target);
 }
 
-async function stopGracefully(context: IFaultContext, entry: string): Promise<void> {
+/** Stops an entry with SIGTERM, which must end it with exit code 0, and starts it again. */
+async function restartGracefully(context: IFaultContext, entry: string): Promise<void> {
   const { deployment, records, invariants } = context;
   const child = deployment.getChild(entry);
   records.gracefulStops.push({ entry, at: performance.now() });
   await child?.stop('SIGTERM');
   invariants.check('i_graceful', child?.exitCode === 0, () => {
-    return `${entry} ended with code ${String(child?.exitCode)} after SIGTERM`;
+    return `${entry} exited with code ${String(child?.exitCode)} after SIGTERM, not 0`;
   });
   await startEntry(context, entry);
 }
 
-/** A new target joins, works for a while and is killed. */
+/** Starts an additional target with its sidecar, and kills both after a few seconds. */
 async function addTarget({ deployment, random }: IFaultContext): Promise<void> {
-  deployment.startFake(LATE_TARGET);
-  deployment.startSidecar(LATE_TARGET);
+  deployment.startFake(LATE_TARGET_ID);
+  deployment.startSidecar(LATE_TARGET_ID);
   await delay(random.nextBetween(3_000, 8_000));
-  await deployment.getChild(`fake-${LATE_TARGET}`)?.stop('SIGKILL');
-  await deployment.getChild(`sidecar-${LATE_TARGET}`)?.stop('SIGKILL');
+  await deployment.getChild(`fake-${LATE_TARGET_ID}`)?.stop('SIGKILL');
+  await deployment.getChild(`sidecar-${LATE_TARGET_ID}`)?.stop('SIGKILL');
 }
 
 export const FAULTS: readonly IFault[] = [
-  { kind: 'kill_entry', subjects: listEntries, run: restartEntry },
-  { kind: 'kill_sidecar', subjects: listSidecars, run: restartSidecar },
-  { kind: 'kill_target', subjects: listFakes, run: restartFake },
-  { kind: 'lose_disk', subjects: listEntries, claims: listEntries, run: replaceDisks },
-  { kind: 'freeze_entry', subjects: listEntries, run: freeze },
-  { kind: 'freeze_sidecar', subjects: listSidecars, run: freeze },
-  { kind: 'freeze_target', subjects: listFakes, run: freeze },
-  { kind: 'cut_link', subjects: listEntries, run: cutLink },
-  { kind: 'isolate_entry', subjects: listEntries, run: cutEntryOff },
-  { kind: 'slow_links', subjects: listEntries, run: delayLinks },
-  { kind: 'restart_all', subjects: listEntries, claims: listEntries, run: restartAll },
-  { kind: 'operator_race', subjects: useOperator, run: ({ operator }) => operator.publishRace() },
+  { kind: 'kill_entry', listSubjects: listEntries, run: restartEntry },
+  { kind: 'kill_sidecar', listSubjects: listSidecars, run: restartSidecar },
+  { kind: 'kill_target', listSubjects: listFakes, run: restartFake },
+  {
+    kind: 'lose_disk',
+    listSubjects: listEntries,
+    listFurtherSubjects: listEntries,
+    run: replaceDisks,
+  },
+  { kind: 'freeze_entry', listSubjects: listEntries, run: freeze },
+  { kind: 'freeze_sidecar', listSubjects: listSidecars, run: freeze },
+  { kind: 'freeze_target', listSubjects: listFakes, run: freeze },
+  { kind: 'cut_link', listSubjects: listEntries, run: cutLink },
+  { kind: 'isolate_entry', listSubjects: listEntries, run: cutEntryLinks },
+  { kind: 'slow_links', listSubjects: listEntries, run: delayLinks },
+  {
+    kind: 'restart_all',
+    listSubjects: listEntries,
+    listFurtherSubjects: listEntries,
+    run: restartAll,
+  },
+  {
+    kind: 'operator_race',
+    listSubjects: listOperators,
+    run: ({ operator }) => operator.publishConcurrently(),
+  },
   {
     kind: 'operator_resend',
-    subjects: useOperator,
-    run: ({ operator }) => operator.publishAgain(),
+    listSubjects: listOperators,
+    run: ({ operator }) => operator.repeatPublish(),
   },
-  { kind: 'withdraw_key', subjects: () => ['keys'], run: withdrawKey },
-  { kind: 'change_rate', subjects: () => ['rates'], run: updateRate },
-  { kind: 'drain_target', subjects: listSidecars, run: drainTarget },
-  { kind: 'graceful_restart', subjects: listEntries, run: stopGracefully },
-  { kind: 'new_target', subjects: () => [LATE_TARGET], run: addTarget },
+  { kind: 'withdraw_key', listSubjects: () => ['keys'], run: withdrawKey },
+  { kind: 'change_rate', listSubjects: () => ['rates'], run: updateRate },
+  { kind: 'drain_target', listSubjects: listSidecars, run: drainTarget },
+  { kind: 'graceful_restart', listSubjects: listEntries, run: restartGracefully },
+  { kind: 'new_target', listSubjects: () => [LATE_TARGET_ID], run: addTarget },
 ];
--- a/tools/soak/FinalChecks.ts
+++ b/tools/soak/FinalChecks.ts
@@ -1,29 +1,41 @@
-/** Checks over all records and effects after the load has ended. Each one is sound without the program. */
+/**
+ * Checks of all requests and effects after the load has ended. They rely only on what clients, operators and
+ * targets observed, not on the state of the program.
+ */
 import { existsSync, readFileSync } from 'node:fs';
 import type { Deployment } from '../harness/Deployment.js';
 import type { Invariants } from './Invariants.js';
 import type { ISoakAccount } from './Plan.js';
-import { getRan, getRequestId, isSuccess, type IRecord, type Records } from './Records.js';
+import {
+  getRanHeader,
+  getRequestId,
+  isSuccess,
+  type IRequestRecord,
+  type Records,
+} from './Records.js';
 
-/** Time in which a withdrawn key stops working. */
-const WITHDRAWAL_MS = 4_000;
+/** Time after which a withdrawn key must no longer work. */
+const WITHDRAWAL_DEADLINE_MS = 4_000;
 
-/** Time for which a shutting-down entry surely accepts new connections. */
-const ACCEPTING_MS = 1_500;
+/** Shortest time for which an entry accepts new connections after SIGTERM. */
+const MIN_ACCEPT_AFTER_SIGTERM_MS = 1_500;
 
+/** Execution of an order, as a plain target recorded it. */
 interface IEffect {
   readonly effectId: string;
   readonly order: string;
   readonly requestId: string;
 }
 
-interface IFinding {
+/** A violation that a target detected. */
+interface ITargetViolation {
   readonly kind: 'leaked_key' | 'foreign_cache_hit';
   readonly target: string;
   readonly requestId: string;
 }
 
-interface IChunk {
+/** An event of a streamed completion, or the body of one that was not streamed. */
+interface ICompletionChunk {
   readonly prompt_digest?: string;
   readonly choices?: readonly {
     readonly delta?: { readonly content?: string };
@@ -35,13 +47,17 @@
   };
 }
 
-/** Tokens that an admitted request used, between the earliest and the latest time of its admission. */
+/**
+ * Tokens that an admitted request used, and the interval in which it was admitted
+ * (`performance.now()`).
+ */
 interface IAdmission {
   readonly earliestAt: number;
   readonly latestAt: number;
   readonly tokens: number;
 }
 
+/** Reads a file of JSON lines; empty if there is no such file. */
 function readLines(file: string): unknown[] {
   if (!existsSync(file)) {
     return [];
@@ -50,9 +66,10 @@
   return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as unknown);
 }
 
+/** Checks the records of a finished run and computes the figures of its summary. */
 export class FinalChecks {
   public readonly effects: readonly IEffect[];
-  private readonly _findings: readonly IFinding[];
+  private readonly _targetViolations: readonly ITargetViolation[];
 
   constructor(
     deployment: Deployment,
@@ -60,7 +77,7 @@
     private readonly _invariants: Invariants,
   ) {
     this.effects = readLines(deployment.ledgerFile) as IEffect[];
-    this._findings = readLines(deployment.violationsFile) as IFinding[];
+    this._targetViolations = readLines(deployment.violationsFile) as ITargetViolation[];
   }
 
   public checkAll(accounts: readonly ISoakAccount[]): void {
@@ -68,16 +85,16 @@
     this._checkNotRun();
     this._checkAnswers();
     this._checkWithdrawals();
-    this._checkGraceful();
-    this._checkFindings();
+    this._checkGracefulStops();
+    this._checkTargetViolations();
     for (const account of accounts) {
       this._checkRate(account);
     }
   }
 
-  /** Requests refused for their rate, by client account. */
-  public countRefusals(accounts: readonly ISoakAccount[]): Record<string, number> {
-    const isRefused = (record: IRecord, id: string): boolean =>
+  /** Number of requests refused with status 429, by client account. */
+  public countRateRefusals(accounts: readonly ISoakAccount[]): Record<string, number> {
+    const isRefused = (record: IRequestRecord, id: string): boolean =>
       record.account === id && record.result.status === 429;
     return countByAccount(
       accounts,
@@ -85,34 +102,43 @@
     );
   }
 
-  /** Those of them that an ideal bucket would have admitted. */
+  /** Number of these refusals that an ideal token bucket would have admitted, by client account. */
   public countWrongfulRefusals(accounts: readonly ISoakAccount[]): Record<string, number> {
-    return countByAccount(accounts, (account) => countWrongful(this._records, account));
+    return countByAccount(accounts, (account) => countWrongfulRefusals(this._records, account));
   }
 
-  /** Tokens used of those that rate and burst allow over the run, in percent. */
-  public measureUse(accounts: readonly ISoakAccount[], seconds: number): Record<string, number> {
+  /** Used tokens in percent of those that rate and burst allow over the run, by client account. */
+  public measureUsePercent(
+    accounts: readonly ISoakAccount[],
+    seconds: number,
+  ): Record<string, number> {
     return countByAccount(accounts, ({ id, tokensPerSecond, burstTokens }) => {
       const used = listAdmissions(this._records, id).reduce((sum, { tokens }) => sum + tokens, 0);
       return Math.round((used * 100) / (tokensPerSecond * seconds + burstTokens));
     });
   }
 
-  /** Median and 95th percentile of the time to the answer of orders, their own delays included. */
-  public measureOrders(): { readonly p50: number; readonly p95: number } {
-    const times = this._requests
+  /**
+   * Median and 95th percentile of the response time of orders in milliseconds, including the delay that the
+   * order itself asks for.
+   */
+  public measureOrderMs(): { readonly p50: number; readonly p95: number } {
+    const durationsMs = this._requests
       .filter((record) => record.orderKey !== undefined && record.result.status === 201)
       .map(({ result }) => result.endAt - result.sentAt)
       .sort((left, right) => left - right);
-    const getShare = (share: number): number =>
-      Math.round(times[Math.floor(times.length * share)] ?? 0);
-    return { p50: getShare(0.5), p95: getShare(0.95) };
+    const getPercentile = (fraction: number): number =>
+      Math.round(durationsMs[Math.floor(durationsMs.length * fraction)] ?? 0);
+    return { p50: getPercentile(0.5), p95: getPercentile(0.95) };
   }
 
-  private get _requests(): readonly IRecord[] {
+  private get _requests(): readonly IRequestRecord[] {
     return this._records.requests;
   }
 
+  /**
+   * Each order has at most one effect, and each complete answer carries an effect that the order has.
+   */
   private _checkEffects(): void {
     const byKey = collectBy(this.effects, (effect) => effect.order);
     for (const [key, effects] of byKey) {
@@ -121,59 +147,68 @@
       });
     }
     for (const record of this._requests) {
-      if (record.orderKey === undefined || !isSuccess(record) || !isWhole(record)) {
+      if (record.orderKey === undefined || !isSuccess(record) || !hasCompleteAnswer(record)) {
         continue;
       }
       const answer = JSON.parse(record.result.text) as IEffect;
-      const isKnown = byKey
+      const isRecorded = byKey
         .get(record.orderKey)
         ?.some((effect) => effect.effectId === answer.effectId);
-      this._invariants.check('a_once', isKnown === true, () => {
-        return `order ${record.orderKey ?? ''} was answered with another effect`;
+      this._invariants.check('a_once', isRecorded === true, () => {
+        return `order ${record.orderKey ?? ''} was answered with an effect that it does not have`;
       });
     }
   }
 
   /**
-   * A request that is said not to have run has no effect under its own request id. When all requests
-   * for a key were said not to have run, the key has no effect.
+   * A request that the program reported as not run has no effect under its request id. If all requests
+   * with an idempotency key were reported as not run or could not connect, the key has no effect.
    */
   private _checkNotRun(): void {
     const effectIds = new Set(this.effects.map((effect) => effect.requestId));
     const effectKeys = new Set(this.effects.map((effect) => effect.order));
     const orders = this._requests.filter((record) => record.orderKey !== undefined);
-    for (const record of orders.filter((order) => getRan(order) === 'no')) {
+    for (const record of orders.filter((order) => getRanHeader(order) === 'no')) {
       this._invariants.check('b_not_run', !effectIds.has(getRequestId(record)), () => {
-        return `request ${getRequestId(record)} of order ${record.orderKey ?? ''} ran`;
+        return `request ${getRequestId(record)} of order ${record.orderKey ?? ''} was reported as not run, but has an effect`;
       });
     }
-    for (const [key, sends] of collectBy(orders, (order) => order.orderKey ?? '')) {
-      const isRefused = sends.every(
-        (send) => getRan(send) === 'no' || send.result.end === 'not_connected',
+    for (const [key, attempts] of collectBy(orders, (order) => order.orderKey ?? '')) {
+      const isRefused = attempts.every(
+        (attempt) => getRanHeader(attempt) === 'no' || attempt.result.end === 'not_connected',
       );
       if (isRefused) {
         this._invariants.check('b_not_run', !effectKeys.has(key), () => {
-          return `order ${key} has an effect, but each of its requests was refused`;
+          return `order ${key} has an effect, but each of its requests was reported as not run or could not connect`;
         });
       }
     }
   }
 
+  /**
+   * Completions are in order, complete and for the right prompt, or end with an error that the client
+   * sees.
+   */
   private _checkAnswers(): void {
     for (const record of this._requests) {
       if (record.result.status !== 200) {
         continue;
       }
       if (record.kind === 'stream') {
-        const fault = findStreamFault(record, this._records.isExcused(record));
-        this._invariants.check('c_answers', fault === undefined, () => describe(record, fault));
+        const defect = findStreamDefect(record, this._records.isDuringKill(record));
+        this._invariants.check('c_answers', defect === undefined, () =>
+          describeRequest(record, defect),
+        );
       } else if (record.kind === 'completion') {
-        const fault = findAnswerFault(record, this._records.isExcused(record));
-        this._invariants.check('c_answers', fault === undefined, () => describe(record, fault));
+        const defect = findCompletionDefect(record, this._records.isDuringKill(record));
+        this._invariants.check('c_answers', defect === undefined, () =>
+          describeRequest(record, defect),
+        );
       }
     }
   }
 
+  /** A withdrawn key gets no answer, and no token of an open stream, after the deadline. */
   private _checkWithdrawals(): void {
     for (const record of this._requests) {
       const withdrawnAt = record.key?.withdrawnAt;
@@ -181,45 +216,58 @@
         continue;
       }
       const { firstByteAt, lastTokenAt } = record.result;
-      const lateMs = Math.round(Math.max(firstByteAt, lastTokenAt) - withdrawnAt);
-      this._invariants.check('d_withdrawn', lateMs <= WITHDRAWAL_MS, () => {
-        return describe(record, `an answer ${lateMs} ms after the withdrawal of its key`);
+      const sinceWithdrawalMs = Math.round(Math.max(firstByteAt, lastTokenAt) - withdrawnAt);
+      this._invariants.check('d_withdrawn', sinceWithdrawalMs <= WITHDRAWAL_DEADLINE_MS, () => {
+        return describeRequest(
+          record,
+          `it was answered ${sinceWithdrawalMs} ms after its key was withdrawn`,
+        );
       });
     }
     for (const { withdrawnAt, keyId } of this._records.keys) {
-      const isUsed = (record: IRecord): boolean =>
+      const isSentAfterWithdrawal = (record: IRequestRecord): boolean =>
         record.key?.keyId === keyId && record.result.sentAt > (withdrawnAt ?? Infinity);
-      for (const record of this._requests.filter(isUsed)) {
+      for (const record of this._requests.filter(isSentAfterWithdrawal)) {
         this._invariants.check(
           'd_withdrawn',
-          !isSuccess(record) || record.result.firstByteAt <= (withdrawnAt ?? 0) + WITHDRAWAL_MS,
-          () => describe(record, 'its key was withdrawn'),
+          !isSuccess(record) ||
+            record.result.firstByteAt <= (withdrawnAt ?? 0) + WITHDRAWAL_DEADLINE_MS,
+          () =>
+            describeRequest(
+              record,
+              'it was answered although its key was withdrawn before it was sent',
+            ),
         );
       }
     }
   }
 
-  private _checkGraceful(): void {
+  /** Requests that an entry has accepted before or shortly after SIGTERM are completed. */
+  private _checkGracefulStops(): void {
     for (const { entry, at } of this._records.gracefulStops) {
-      const concerned = this._requests.filter(
+      const affected = this._requests.filter(
         (record) =>
           record.entry === entry &&
-          record.result.sentAt <= at + ACCEPTING_MS &&
+          record.result.sentAt <= at + MIN_ACCEPT_AFTER_SIGTERM_MS &&
           record.result.endAt >= at &&
           record.result.end !== 'timeout' &&
-          !this._records.isExcused(record),
+          !this._records.isDuringKill(record),
       );
-      for (const record of concerned) {
+      for (const record of affected) {
         this._invariants.check('i_graceful', record.result.end === 'complete', () => {
-          return describe(record, `${record.result.end} while ${entry} shut down`);
+          return describeRequest(
+            record,
+            `it ended as "${record.result.end}" while ${entry} shut down`,
+          );
         });
       }
     }
   }
 
-  private _checkFindings(): void {
+  /** No target saw a client's key, and no cached prompt of another client account was used. */
+  private _checkTargetViolations(): void {
     this._invariants.check('g_key_leak', true, () => '');
-    for (const { kind, target, requestId } of this._findings) {
+    for (const { kind, target, requestId } of this._targetViolations) {
       const name = kind === 'leaked_key' ? 'g_key_leak' : 'j_cache';
       this._invariants.check(name, false, () => `${kind} at ${target} in request ${requestId}`);
     }
@@ -227,36 +275,42 @@
       const cached = readUsage(record)?.prompt_tokens_details?.cached_tokens ?? 0;
       if (cached > 0) {
         this._invariants.check('j_cache', cached <= record.promptTokens, () => {
-          return describe(record, `${cached} cached tokens of ${record.promptTokens}`);
+          return describeRequest(
+            record,
+            `it has ${cached} cached tokens, but only ${record.promptTokens} prompt tokens`,
+          );
         });
       }
     }
   }
 
   /**
-   * For all pairs of instants, the tokens of the requests that were surely admitted between them are at
-   * most rate x time + burst. Only complete answers count, with the usage that they report.
+   * Between any two points in time, the requests that must have been admitted between them use at most
+   * rate x time + burst tokens. Only answers that report their usage count.
    */
   private _checkRate({ id, tokensPerSecond, burstTokens }: ISoakAccount): void {
     const admissions = listAdmissions(this._records, id);
     for (const { earliestAt } of admissions) {
       let tokens = 0;
-      let worst = -Infinity;
+      let maxExcessTokens = -Infinity;
       for (const other of admissions) {
         if (other.earliestAt >= earliestAt) {
           tokens += other.tokens;
           const seconds = (other.latestAt - earliestAt) / 1_000;
-          worst = Math.max(worst, tokens - tokensPerSecond * seconds - burstTokens);
+          maxExcessTokens = Math.max(
+            maxExcessTokens,
+            tokens - tokensPerSecond * seconds - burstTokens,
+          );
         }
       }
-      this._invariants.check('e_rate', worst <= 0, () => {
-        return `${id} used ${Math.round(worst)} tokens more than its rate and burst allow`;
+      this._invariants.check('e_rate', maxExcessTokens <= 0, () => {
+        return `client account ${id} used ${Math.round(maxExcessTokens)} tokens more than its rate and burst allow`;
       });
     }
   }
 }
 
-/** Admissions in the order of their latest possible time. */
+/** Lists the admissions of a client account, sorted by their latest possible time. */
 function listAdmissions(records: Records, account: string): IAdmission[] {
   const admissions: IAdmission[] = [];
   for (const record of records.requests) {
@@ -273,10 +327,11 @@
 }
 
 /**
- * Plays the account's requests on an ideal bucket of its own rate and burst: a request reserves its
- * limit when it is sent and returns the rest when it ends.
+ * Simulates the requests of a client account on an ideal token bucket with its rate and burst: a request
+ * reserves its limit when it is sent and refunds the unused tokens when it ends. Returns how many refused
+ * requests the bucket would have admitted.
  */
-function countWrongful(records: Records, account: ISoakAccount): number {
+function countWrongfulRefusals(records: Records, account: ISoakAccount): number {
   const events: { at: number; tokens: number; isRefusal: boolean }[] = [];
   for (const record of records.requests.filter(({ account: id }) => id === account.id)) {
     const { sentAt, endAt, status } = record.result;
@@ -290,22 +345,24 @@
     }
   }
   events.sort((left, right) => left.at - right.at);
-  let [level, lastAt, refusals] = [account.burstTokens, 0, 0];
+  let [levelTokens, lastAt, wrongfulRefusals] = [account.burstTokens, 0, 0];
   for (const { at, tokens, isRefusal } of events) {
-    const refill = lastAt === 0 ? 0 : ((at - lastAt) / 1_000) * account.tokensPerSecond;
-    level = Math.min(account.burstTokens, level + refill);
+    const refillTokens = lastAt === 0 ? 0 : ((at - lastAt) / 1_000) * account.tokensPerSecond;
+    levelTokens = Math.min(account.burstTokens, levelTokens + refillTokens);
     lastAt = at;
     if (!isRefusal) {
-      level -= tokens;
-    } else if (level >= tokens) {
-      refusals += 1;
-      // The ideal bucket admits it; else one early loss would make every later refusal wrongful.
-      level -= tokens;
+      levelTokens -= tokens;
+    } else if (levelTokens >= tokens) {
+      wrongfulRefusals += 1;
+      // The ideal bucket spends these tokens too: otherwise its level would stay too high after one wrongful
+      // refusal, and every later refusal would count as wrongful.
+      levelTokens -= tokens;
     }
   }
-  return refusals;
+  return wrongfulRefusals;
 }
 
+/** Maps the client accounts with a positive count to it. */
 function countByAccount(
   accounts: readonly ISoakAccount[],
   count: (account: ISoakAccount) => number,
@@ -314,55 +371,56 @@
   return Object.fromEntries(entries.filter(([, amount]) => amount > 0));
 }
 
-function isWhole(record: IRecord): boolean {
+function hasCompleteAnswer(record: IRequestRecord): boolean {
   return record.result.end === 'complete';
 }
 
-/** Parts of a streamed or whole answer that are complete. */
-function parseChunks(record: IRecord): IChunk[] {
+/** Parses the complete events of a streamed answer, or the body of one that was not streamed. */
+function parseChunks(record: IRequestRecord): ICompletionChunk[] {
   const { text } = record.result;
   if (record.kind === 'completion') {
-    return isWhole(record) ? [JSON.parse(text) as IChunk] : [];
+    return hasCompleteAnswer(record) ? [JSON.parse(text) as ICompletionChunk] : [];
   }
   if (record.kind !== 'stream') {
     return [];
   }
-  // The last line may be cut off.
+  // The last line of a broken stream may be incomplete.
   const lines = text.slice(0, text.lastIndexOf('\n') + 1).split('\n');
   return lines
     .filter((line) => line.startsWith('data: {') && !line.startsWith('data: {"error"'))
-    .map((line) => JSON.parse(line.slice('data: '.length)) as IChunk);
+    .map((line) => JSON.parse(line.slice('data: '.length)) as ICompletionChunk);
 }
 
-function readUsage(record: IRecord): IChunk['usage'] {
+function readUsage(record: IRequestRecord): ICompletionChunk['usage'] {
   if (record.result.status !== 200) {
     return undefined;
   }
   return parseChunks(record).findLast((chunk) => chunk.usage !== undefined)?.usage;
 }
 
-function expectTokens(count: number): string {
+/** Content of an answer with `count` tokens, as the fake engine generates it. */
+function buildExpectedContent(count: number): string {
   return Array.from({ length: count }, (_, index) => `t${index} `).join('');
 }
 
-/** Describes what is wrong with a stream, or returns undefined. */
-function findStreamFault(record: IRecord, isExcused: boolean): string | undefined {
+/** Describes what is wrong with a streamed answer; undefined if nothing is. */
+function findStreamDefect(record: IRequestRecord, isDuringKill: boolean): string | undefined {
   const { text, end } = record.result;
   const chunks = parseChunks(record);
   const deltas = chunks.map((chunk) => chunk.choices?.[0]?.delta?.content ?? '');
   const tokens = deltas.filter((delta) => delta !== '');
-  if (tokens.join('') !== expectTokens(tokens.length)) {
+  if (tokens.join('') !== buildExpectedContent(tokens.length)) {
     return 'its tokens are out of order';
   }
   const digest = chunks.findLast((chunk) => chunk.prompt_digest !== undefined)?.prompt_digest;
   if (digest !== undefined && digest !== record.promptDigest) {
     return 'it answers another prompt';
   }
-  if (end === 'timeout' || (end === 'broken' && isExcused)) {
+  if (end === 'timeout' || (end === 'broken' && isDuringKill)) {
     return undefined;
   }
   if (end === 'broken') {
-    return 'the connection broke without an error event';
+    return 'its connection broke without an error event';
   }
   if (text.includes('event: error\n')) {
     return undefined;
@@ -373,25 +431,28 @@
     : `it ended without an error event after ${tokens.length} of ${record.outputTokens} tokens`;
 }
 
-function findAnswerFault(record: IRecord, isExcused: boolean): string | undefined {
+/** Describes what is wrong with an answer that was not streamed; undefined if nothing is. */
+function findCompletionDefect(record: IRequestRecord, isDuringKill: boolean): string | undefined {
   const { end } = record.result;
-  if (end === 'timeout' || (end === 'broken' && isExcused)) {
+  if (end === 'timeout' || (end === 'broken' && isDuringKill)) {
     return undefined;
   }
   if (end === 'broken') {
-    return 'the connection broke';
+    return 'its connection broke';
   }
   const [chunk] = parseChunks(record);
   if (chunk?.prompt_digest !== record.promptDigest) {
     return 'it answers another prompt';
   }
   const content = chunk?.choices?.[0]?.message?.content;
-  return content === expectTokens(record.outputTokens) ? undefined : 'its content is incomplete';
+  return content === buildExpectedContent(record.outputTokens)
+    ? undefined
+    : 'its content is incomplete';
 }
 
-function describe(record: IRecord, fault: string | undefined): string {
+function describeRequest(record: IRequestRecord, defect: string | undefined): string {
   const id = getRequestId(record);
-  return `${record.kind} ${id} of ${record.account} at ${record.entry}: ${fault ?? ''}`;
+  return `${record.kind} ${id} of ${record.account} at ${record.entry}: ${defect ?? ''}`;
 }
 
 function collectBy<T>(values: readonly T[], getKey: (value: T) => string): Map<string, T[]> {
--- a/tools/soak/HttpCall.ts
+++ b/tools/soak/HttpCall.ts
@@ -1,31 +1,43 @@
-/** One HTTP request, with the times that the checks need. */
+/** Sends HTTP requests and records the times that the checks of the soak need. */
 import { request as sendRequest, type Agent, type IncomingHttpHeaders } from 'node:http';
 
+/** Request to send. */
 export interface ICallOptions {
   readonly method: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body?: string;
+  /** Time limit for the whole answer. */
   readonly timeoutMs: number;
-  /** Keeps connections for further requests; without it each request has a connection of its own. */
+  /** Pool of reused connections; without it each request opens a new connection. */
   readonly agent?: Agent;
 }
 
-/** What a call got. Times are milliseconds of `performance.now()`. */
+/** Answer to a request, as far as it arrived. Times are milliseconds of `performance.now()`. */
 export interface ICallResult {
+  /**
+   * `not_connected`: the request failed before a new connection was established. Without an agent, no server
+   * got the request in that case.
+   */
   readonly end: 'complete' | 'broken' | 'timeout' | 'not_connected';
+  /** HTTP status; 0 if no response arrived. */
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly text: string;
   readonly sentAt: number;
+  /** Arrival of the response headers; 0 if no response arrived. */
   readonly firstByteAt: number;
-  /** Arrival of the last part that carries a generated token. */
+  /**
+   * Arrival of the last chunk of data that contains an event of a streamed completion; 0 if none
+   * arrived.
+   */
   readonly lastTokenAt: number;
   readonly endAt: number;
 }
 
-const TOKEN_MARK = '"chat.completion.chunk"';
+/** Occurs in each event of a streamed completion. */
+const TOKEN_CHUNK_MARKER = '"chat.completion.chunk"';
 
-/** Sends a request and collects the answer; never rejects. */
+/** Sends a request and waits for the end of the answer; never rejects. */
 export async function sendCall(url: string, options: ICallOptions): Promise<ICallResult> {
   const sentAt = performance.now();
   let [status, firstByteAt, lastTokenAt, text] = [0, 0, 0, ''];
@@ -38,7 +50,7 @@
       resolve({ end, status, headers, text, sentAt, firstByteAt, lastTokenAt, endAt });
     };
     const call = sendRequest(url, {
-      // Without an agent a new connection: an idle one may close just when it is used.
+      // Opens a new connection by default: the server may close an idle one at the moment of its reuse.
       agent: options.agent ?? false,
       method: options.method,
       headers: options.headers,
@@ -60,9 +72,9 @@
       status = response.statusCode ?? 0;
       headers = response.headers;
       response.setEncoding('utf8');
-      response.on('data', (part: string) => {
-        text += part;
-        if (part.includes(TOKEN_MARK)) {
+      response.on('data', (chunk: string) => {
+        text += chunk;
+        if (chunk.includes(TOKEN_CHUNK_MARKER)) {
           lastTokenAt = performance.now();
         }
       });
--- a/tools/soak/Invariants.ts
+++ b/tools/soak/Invariants.ts
@@ -1,6 +1,6 @@
-/** Counts the checks and violations of each invariant. */
+/** Invariants of the soak, and the counts of their checks and violations. */
 
-/** Names as in docs/soak.md. */
+/** Names of the invariants, which docs/soak.md describes. */
 export const INVARIANTS = [
   'a_once',
   'b_not_run',
@@ -17,16 +17,17 @@
 
 export type Invariant = (typeof INVARIANTS)[number];
 
-interface ICount {
+interface ICheckCounts {
   checks: number;
   violations: number;
 }
 
-/** Details printed for each invariant. */
-const MAX_DETAILS = 5;
+/** Violations of one invariant that are reported in detail; further ones are only counted. */
+const MAX_REPORTED_VIOLATIONS = 5;
 
+/** Counts the checks and violations of each invariant and reports violations. */
 export class Invariants<T extends string = Invariant> {
-  private readonly _counts = new Map<T, ICount>();
+  private readonly _counts = new Map<T, ICheckCounts>();
 
   constructor(
     private readonly _report: (line: string) => void,
@@ -37,6 +38,7 @@
     }
   }
 
+  /** Number of violations of all invariants. */
   public get violations(): number {
     return [...this._counts.values()].reduce((sum, { violations }) => sum + violations, 0);
   }
@@ -45,25 +47,28 @@
     return (this._counts.get(name)?.violations ?? 0) > 0;
   }
 
-  /** Records one check; the detail is only built for a violation. */
-  public check(name: T, isKept: boolean, describe: () => string): void {
+  /** Counts one check; `describe` is only called for a violation that is reported. */
+  public check(name: T, isSatisfied: boolean, describe: () => string): void {
     const count = this._counts.get(name) ?? { checks: 0, violations: 0 };
     count.checks += 1;
-    if (isKept) {
+    if (isSatisfied) {
       return;
     }
     count.violations += 1;
-    if (count.violations <= MAX_DETAILS) {
+    if (count.violations <= MAX_REPORTED_VIOLATIONS) {
       this._report(`VIOLATION ${name}: ${describe()}`);
     }
   }
 
-  /** Invariants that were checked less often than a run needs to prove something. */
-  public listUnproved(least: Readonly<Record<T, number>>): readonly T[] {
-    return [...this._counts].flatMap(([name, { checks }]) => (checks < least[name] ? [name] : []));
+  /** Lists the invariants with fewer checks than the given minimum, below which a run proves nothing. */
+  public listUnproved(minChecks: Readonly<Record<T, number>>): readonly T[] {
+    return [...this._counts].flatMap(([name, { checks }]) =>
+      checks < minChecks[name] ? [name] : [],
+    );
   }
 
-  public toJSON(): Record<string, ICount> {
+  /** Counts by invariant, for the summary of the run. */
+  public toJSON(): Record<string, ICheckCounts> {
     return Object.fromEntries(this._counts);
   }
 }
--- a/tools/soak/NetworkPreload.ts
+++ b/tools/soak/NetworkPreload.ts
@@ -1,9 +1,9 @@
 /**
- * Loaded into the program's processes before their own code. Disturbs their outgoing connections as a
- * file tells: data to an address may be held back (requests lost in a cut), data from it may be held
- * back (answers lost), and both may be delayed. Held data flows on when the disturbance ends, as it does
- * on TCP after retransmission, unless one side has given up before. The file may also move the time of
- * day and slow the disk of the process.
+ * Module that is loaded into the processes of the program before their own code (`--require`). It disturbs
+ * their outgoing connections as a file specifies: data sent to an address can be held back (requests are
+ * lost), data received from it can be held back (answers are lost), and both can be delayed. Held data is
+ * delivered when the disturbance ends, as TCP does by retransmission, unless one side has closed the
+ * connection. The file can also shift the wall clock of the process and delay its disk syncs.
  */
 import { readFileSync } from 'node:fs';
 import { open } from 'node:fs/promises';
@@ -12,13 +12,14 @@
 
 const POLL_INTERVAL_MS = 50;
 
-/** What happens to the connections to one port. */
+/** Disturbance of the connections to one destination. */
 interface IDisturbance {
   readonly holdSent?: boolean;
   readonly holdReceived?: boolean;
   readonly delayMs?: number;
 }
 
+/** Internal method of Node's sockets through which all writes pass. */
 type WriteGeneric = (
   this: IPatchedSocket,
   isVector: boolean,
@@ -27,45 +28,51 @@
   callback: (error?: Error | null) => void,
 ) => void;
 
-/** What happens to the process itself. */
+/** Disturbance of the process itself. */
 interface IProcessDisturbance {
+  /** Added to `Date.now()`. */
   readonly clockOffsetMs?: number;
+  /** Delay before each sync of a file. */
   readonly syncDelayMs?: number;
 }
 
 interface IPatchedSocket extends Socket {
   _writeGeneric: WriteGeneric;
+  /** Received data that is not yet delivered, with the earliest time of its delivery. */
   heldReads?: { readonly chunk: unknown; readonly dueAt: number }[];
-  /** Port, and host with port. */
-  targetKeys?: readonly string[];
+  /** Names of the destination in the file: the port, and the host with the port. */
+  destinationKeys?: readonly string[];
 }
 
-const file = process.env.REDWINGWHARF_NETWORK_FILE ?? '';
+const disturbanceFile = process.env.REDWINGWHARF_NETWORK_FILE ?? '';
 let disturbances: Readonly<Record<string, IDisturbance>> & {
   readonly process?: IProcessDisturbance;
 } = {};
-const readers = new Set<IPatchedSocket>();
+const socketsWithHeldReads = new Set<IPatchedSocket>();
 
-function readFile(): void {
+function readDisturbances(): void {
   try {
-    disturbances = JSON.parse(readFileSync(file, 'utf8')) as typeof disturbances;
+    disturbances = JSON.parse(readFileSync(disturbanceFile, 'utf8')) as typeof disturbances;
   } catch {
-    // No file means no disturbance.
+    // Without a file there are no disturbances.
     disturbances = {};
   }
 }
 
 function findDisturbance(socket: IPatchedSocket): IDisturbance | undefined {
-  const key = socket.targetKeys?.find((name) => disturbances[name] !== undefined);
+  const key = socket.destinationKeys?.find((name) => disturbances[name] !== undefined);
   return key === undefined ? undefined : disturbances[key];
 }
 
-const prototype = Socket.prototype as IPatchedSocket;
-const connect = Reflect.get(prototype, 'connect') as (...args: unknown[]) => Socket;
-const push = Reflect.get(prototype, 'push') as (chunk: unknown, encoding?: string) => boolean;
-const { _writeGeneric: writeGeneric } = prototype;
+const socketPrototype = Socket.prototype as IPatchedSocket;
+const originalConnect = Reflect.get(socketPrototype, 'connect') as (...args: unknown[]) => Socket;
+const originalPush = Reflect.get(socketPrototype, 'push') as (
+  chunk: unknown,
+  encoding?: string,
+) => boolean;
+const { _writeGeneric: originalWriteGeneric } = socketPrototype;
 
-prototype.connect = function (this: IPatchedSocket, ...args: unknown[]) {
+socketPrototype.connect = function (this: IPatchedSocket, ...args: unknown[]) {
   const [first, second] = args.flat() as [
     { port?: number | string; host?: string } | number | undefined,
     unknown,
@@ -74,13 +81,13 @@
     typeof first === 'object'
       ? first
       : { port: first, host: typeof second === 'string' ? second : '' };
-  this.targetKeys = [String(port), `${host ?? ''}:${String(port)}`];
-  return connect.apply(this, args);
-} as typeof prototype.connect;
+  this.destinationKeys = [String(port), `${host ?? ''}:${String(port)}`];
+  return originalConnect.apply(this, args);
+} as typeof socketPrototype.connect;
 
-prototype._writeGeneric = function (isVector, data, encoding, callback) {
+socketPrototype._writeGeneric = function (isVector, data, encoding, callback) {
   const send = (): void => {
-    writeGeneric.call(this, isVector, data, encoding, callback);
+    originalWriteGeneric.call(this, isVector, data, encoding, callback);
   };
   const waitUntil = (dueAt: number): void => {
     if (this.destroyed) {
@@ -99,6 +106,7 @@
   }
 };
 
+/** Delivers held data of a socket whose delay has passed, unless the data is still held back. */
 function releaseReads(socket: IPatchedSocket): void {
   const held = socket.heldReads ?? [];
   const isHeld = findDisturbance(socket)?.holdReceived === true;
@@ -106,39 +114,42 @@
   while (held.length > 0 && !isHeld && (held[0]?.dueAt ?? 0) <= now) {
     const next = held.shift();
     if (!socket.destroyed) {
-      push.call(socket, next?.chunk);
+      originalPush.call(socket, next?.chunk);
     }
   }
   if (held.length === 0 || socket.destroyed) {
-    readers.delete(socket);
+    socketsWithHeldReads.delete(socket);
     delete socket.heldReads;
   }
 }
 
-prototype.push = function (this: IPatchedSocket, chunk: unknown, encoding?: BufferEncoding) {
+socketPrototype.push = function (this: IPatchedSocket, chunk: unknown, encoding?: BufferEncoding) {
   const disturbance = findDisturbance(this);
   if (disturbance === undefined && this.heldReads === undefined) {
-    return push.call(this, chunk, encoding);
+    return originalPush.call(this, chunk, encoding);
   }
   this.heldReads ??= [];
   this.heldReads.push({ chunk, dueAt: performance.now() + (disturbance?.delayMs ?? 0) });
-  readers.add(this);
+  socketsWithHeldReads.add(this);
   return true;
 };
 
-const tellTime = Date.now.bind(Date);
-Date.now = (): number => tellTime() + (disturbances.process?.clockOffsetMs ?? 0);
+const getSystemTime = Date.now.bind(Date);
+Date.now = (): number => getSystemTime() + (disturbances.process?.clockOffsetMs ?? 0);
 
-type Sync = (this: unknown) => Promise<void>;
+type SyncMethod = (this: unknown) => Promise<void>;
 
-/** File handles share a prototype that Node does not export. */
+/**
+ * Delays syncs of files. Node does not export the prototype of its file handles, so one is opened to
+ * get it.
+ */
 async function delaySyncs(): Promise<void> {
   const handle = await open('/dev/null');
-  const handles = Object.getPrototypeOf(handle) as Record<'sync' | 'datasync', Sync>;
+  const handlePrototype = Object.getPrototypeOf(handle) as Record<'sync' | 'datasync', SyncMethod>;
   await handle.close();
   for (const name of ['sync', 'datasync'] as const) {
-    const original = handles[name];
-    handles[name] = async function (this: unknown): Promise<void> {
+    const original = handlePrototype[name];
+    handlePrototype[name] = async function (this: unknown): Promise<void> {
       await delay(disturbances.process?.syncDelayMs ?? 0);
       return original.call(this);
     };
@@ -146,10 +157,10 @@
 }
 
 void delaySyncs();
-readFile();
+readDisturbances();
 setInterval(() => {
-  readFile();
-  for (const socket of readers) {
+  readDisturbances();
+  for (const socket of socketsWithHeldReads) {
     releaseReads(socket);
   }
 }, POLL_INTERVAL_MS).unref();
--- a/tools/soak/Plan.ts
+++ b/tools/soak/Plan.ts
@@ -1,10 +1,10 @@
-/** Deployment and client accounts of the soak. */
+/** Deployment plan, client accounts and load of the soak. */
 import { FRANCHISE_ENTRIES, FRANCHISE_SERVICES } from '../harness/Franchise.js';
 import type { IDeploymentPlan } from '../harness/Deployment.js';
 
 const SERVICES = ['lace', 'order-desk'];
 
-/** A client account with the load that it sends. */
+/** A client account, its limits and the load that its clients send. */
 export interface ISoakAccount {
   readonly id: string;
   readonly tokensPerSecond: number;
@@ -13,9 +13,9 @@
   readonly requestsPerSecond: number;
   /** Mean number of non-repeatable orders per second. */
   readonly ordersPerSecond: number;
-  /** True: it also sends bursts that follow a large reservation of which little is used. */
-  readonly hasRefunds?: boolean;
-  /** True: prompts begin with the long shared standard. */
+  /** True if it also sends a burst after a large reservation of which most is refunded. */
+  readonly hasRefundBursts?: boolean;
+  /** True if most prompts begin with the long shared system prompt. */
   readonly hasLongPrompts: boolean;
 }
 
@@ -28,7 +28,7 @@
     ordersPerSecond: 2,
     hasLongPrompts: true,
   },
-  // Sends about four times its rate.
+  // Its clients send about four times the rate.
   {
     id: 'lepoglava',
     tokensPerSecond: 1_500,
@@ -52,9 +52,9 @@
     requestsPerSecond: 0.2,
     ordersPerSecond: 0,
     hasLongPrompts: false,
-    hasRefunds: true,
+    hasRefundBursts: true,
   },
-  // Its keys are withdrawn again and again.
+  // Its keys are withdrawn repeatedly during the run.
   {
     id: 'brac',
     tokensPerSecond: 20_000,
@@ -63,7 +63,7 @@
     ordersPerSecond: 1,
     hasLongPrompts: true,
   },
-  // Its rate changes; this is the highest one.
+  // Its rate is changed during the run; these are the highest values.
   {
     id: 'cres',
     tokensPerSecond: 4_000,
@@ -74,35 +74,35 @@
   },
 ];
 
-const ENGINE_ARGS = ['--evict-ms', '8000', '--decode-ms', '8'];
+const FAKE_ENGINE_ARGS = ['--evict-ms', '8000', '--decode-ms', '8'];
 
-function describeEngine(number: number, dataCentre: string): IDeploymentPlan['targets'][number] {
+function buildEngineTarget(number: number, dataCentre: string): IDeploymentPlan['targets'][number] {
   return {
     id: `lace-${number}`,
     service: 'lace',
     kind: 'engine',
     model: 'lace-1',
     dataCentre,
-    fakeArgs: ENGINE_ARGS,
+    fakeArgs: FAKE_ENGINE_ARGS,
   };
 }
 
-/** Target that is not started at first; it joins as a fault. */
-export const LATE_TARGET = 'lace-3';
+/** Target that does not run from the start; the fault `new_target` starts it. */
+export const LATE_TARGET_ID = 'lace-3';
 
-/** Builds the plan; `breakName` switches a mechanism of the program off. */
+/** Builds the plan of the deployment; `breakName` is the mechanism of the program to disable, if any. */
 export function buildPlan(breakName: string | undefined): IDeploymentPlan {
   return {
     region: 'hr-central',
     entries: FRANCHISE_ENTRIES,
     targets: [
-      describeEngine(1, 'hr-a'),
-      describeEngine(2, 'hr-b'),
-      describeEngine(3, 'hr-c'),
+      buildEngineTarget(1, 'hr-a'),
+      buildEngineTarget(2, 'hr-b'),
+      buildEngineTarget(3, 'hr-c'),
       { id: 'desk-1', service: 'order-desk', kind: 'plain', dataCentre: 'hr-b' },
       { id: 'desk-2', service: 'order-desk', kind: 'plain', dataCentre: 'hr-c' },
     ],
-    lateTargets: [LATE_TARGET],
+    lateTargets: [LATE_TARGET_ID],
     program: 'dist/redwingwharf-test.cjs',
     preload: './dist/tools/network.cjs',
     environment: breakName === undefined ? {} : { REDWINGWHARF_BREAK: breakName },
--- a/tools/soak/Records.ts
+++ b/tools/soak/Records.ts
@@ -1,28 +1,28 @@
-/** What the soak remembers of each request, independent of the program. */
+/** Requests, keys and interruptions that the soak records outside the program. */
 import type { ICallResult } from './HttpCall.js';
 
-/** A key that was given to a client account. */
+/** A key that was issued for a client account. */
 export interface ISoakKey {
   readonly text: string;
   readonly keyId: string;
   readonly account: string;
-  /** Time at which the command that withdrew it returned. */
+  /** Time at which the command that withdrew the key returned; undefined while the key is valid. */
   withdrawnAt: number | undefined;
 }
 
 export type RequestKind = 'stream' | 'completion' | 'lookup' | 'open' | 'order';
 
-/** One request and its end. */
-export interface IRecord {
+/** A request that has ended, and its result. */
+export interface IRequestRecord {
   readonly kind: RequestKind;
   readonly account: string;
   readonly entry: string;
   readonly key: ISoakKey | undefined;
-  /** Digest of the prompt that the answer has to carry. */
+  /** Digest of the prompt, which the answer must repeat. */
   readonly promptDigest: string | undefined;
-  /** Tokens that are reserved for the answer. */
+  /** Tokens that the request reserves for the answer (`max_tokens`). */
   readonly outputLimit: number;
-  /** Tokens that the answer has. */
+  /** Tokens that a complete answer has. */
   readonly outputTokens: number;
   readonly promptTokens: number;
   /** Idempotency key of an order. */
@@ -30,35 +30,36 @@
   readonly result: ICallResult;
 }
 
-export function getRequestId(record: IRecord): string {
+/** Request id that the program assigned; empty without an answer. */
+export function getRequestId(record: IRequestRecord): string {
   const id = record.result.headers['x-request-id'];
   return typeof id === 'string' ? id : '';
 }
 
-/** The program's statement whether the request ran; undefined without an answer. */
-export function getRan(record: IRecord): string | undefined {
+/** Header in which the program reports whether the request ran; undefined if there is none. */
+export function getRanHeader(record: IRequestRecord): string | undefined {
   const ran = record.result.headers['x-rww-ran'];
   return typeof ran === 'string' ? ran : undefined;
 }
 
-export function isSuccess(record: IRecord): boolean {
+export function isSuccess(record: IRequestRecord): boolean {
   return record.result.status >= 200 && record.result.status < 300;
 }
 
-/** All requests, and the kills that excuse broken connections. */
+/** Records of one run: requests, keys, and the kills and graceful stops of entries. */
 export class Records {
-  public readonly requests: IRecord[] = [];
+  public readonly requests: IRequestRecord[] = [];
   public readonly keys: ISoakKey[] = [];
   private readonly _kills: { readonly entry: string; readonly at: number }[] = [];
-  /** Entries told to shut down gracefully; their requests must not break. */
+  /** Times of SIGTERM to entries, whose requests must not break. */
   public readonly gracefulStops: { readonly entry: string; readonly at: number }[] = [];
 
   public recordKill(entry: string): void {
     this._kills.push({ entry, at: performance.now() });
   }
 
-  /** True when the entry was killed while the request was open. */
-  public isExcused(record: IRecord): boolean {
+  /** True if the entry was killed while the request was open or within 100 ms after its end. */
+  public isDuringKill(record: IRequestRecord): boolean {
     const { sentAt, endAt } = record.result;
     return this._kills.some(
       ({ entry, at }) => entry === record.entry && at >= sentAt && at <= endAt + 100,
--- a/tools/soak/StatusWatch.ts
+++ b/tools/soak/StatusWatch.ts
@@ -1,4 +1,4 @@
-/** Polls the entries' status: versions never go back, and accepted changes are in force. */
+/** Polls the status of the entries and checks the configuration versions that they serve. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { RpcClients } from '../../src/common/Rpc.js';
 import { RosterService } from '../../src/gen/redwingwharf/v1/control_pb.js';
@@ -9,14 +9,21 @@
 const POLL_INTERVAL_MS = 200;
 const POLL_TIMEOUT_MS = 1_000;
 
-/** Time in which an accepted change is in force everywhere. */
-const IN_FORCE_MS = 4_000;
+/** Time after which an accepted change must be in force at all ready entries. */
+const IN_FORCE_DEADLINE_MS = 4_000;
 
+/**
+ * Checks that the configuration version of an entry never decreases while its process runs, and that accepted
+ * changes come into force in time. Knows which entries are ready.
+ */
 export class StatusWatch {
   private readonly _clients: RpcClients;
   private readonly _ready = new Set<string>();
-  /** Highest version seen in the current life of each entry. */
-  private readonly _seen = new Map<string, { readonly pid: number; readonly version: number }>();
+  /** Version in the last status of each entry, with the process that reported it. */
+  private readonly _lastVersions = new Map<
+    string,
+    { readonly pid: number; readonly version: number }
+  >();
 
   constructor(
     private readonly _deployment: Deployment,
@@ -31,6 +38,7 @@
     return [...this._ready];
   }
 
+  /** Polls until the signal is aborted. */
   public async run(signal: AbortSignal): Promise<void> {
     const entries = this._deployment.listEntries();
     await Promise.all(entries.map((entry) => this._watchEntry(entry, signal)));
@@ -70,21 +78,23 @@
     isReady: boolean,
     version: number,
   ): void {
-    const seen = this._seen.get(entry);
-    if (seen?.pid === pid) {
-      this._invariants.check('f_configuration', version >= seen.version, () => {
-        return `${entry} went back from version ${seen.version} to ${version}`;
+    const last = this._lastVersions.get(entry);
+    if (last?.pid === pid) {
+      this._invariants.check('f_configuration', version >= last.version, () => {
+        return `the version of ${entry} decreased from ${last.version} to ${version}`;
       });
     }
-    this._seen.set(entry, { pid, version });
+    this._lastVersions.set(entry, { pid, version });
     if (!isReady) {
-      // It refuses keyed requests, so an old copy does no harm.
+      // An entry that is not ready refuses requests with a key, so an outdated configuration does no harm.
       return;
     }
-    const due = this._operator.accepted.filter(({ at }) => at + IN_FORCE_MS <= sentAt);
-    const expected = Math.max(0, ...due.map((change) => change.version));
+    const dueChanges = this._operator.acceptedChanges.filter(
+      ({ acceptedAt }) => acceptedAt + IN_FORCE_DEADLINE_MS <= sentAt,
+    );
+    const expected = Math.max(0, ...dueChanges.map((change) => change.version));
     this._invariants.check('f_configuration', version >= expected, () => {
-      return `${entry} serves version ${version}, ${expected} was accepted over 4 s ago`;
+      return `${entry} serves version ${version}, but version ${expected} was accepted more than 4 s before`;
     });
   }
 }
