--- a/tools/harness/Child.ts
+++ b/tools/harness/Child.ts
@@ -1,9 +1,9 @@
-/** A child process whose output goes to a log file. */
+/** Child processes of a deployment. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync } from 'node:fs';
 import { once } from 'node:events';
 
-/** One running child. */
+/** A Node.js process that is started with the object; its output is appended to a log file. */
 export class Child {
   private readonly _process: ChildProcess;
 
@@ -33,21 +33,24 @@
     return this._process.exitCode;
   }
 
-  /** Sends a signal, for instance SIGSTOP and SIGCONT for a freeze. */
+  /** Sends a signal, for example SIGSTOP to suspend the process and SIGCONT to continue it. */
   public signal(signal: NodeJS.Signals): void {
     this._process.kill(signal);
   }
 
-  /** Sends a signal and waits for the end. */
+  /**
+   * Sends a signal and waits for the exit. A suspended process is continued, so that it handles the
+   * signal.
+   */
   public async stop(signal: NodeJS.Signals): Promise<void> {
     if (!this.isRunning) {
       return;
     }
-    const ended = once(this._process, 'exit');
+    const exit = once(this._process, 'exit');
     this._process.kill(signal);
     if (signal !== 'SIGKILL') {
       this._process.kill('SIGCONT');
     }
-    await ended;
+    await exit;
   }
 }
--- a/tools/harness/Deployment.ts
+++ b/tools/harness/Deployment.ts
@@ -1,4 +1,7 @@
-/** A small deployment of separate processes on loopback, for the demo, the soak and measurements. */
+/**
+ * Starts a small deployment of separate processes on loopback, for the demo, the soak and
+ * measurements.
+ */
 import { execFile } from 'node:child_process';
 import { mkdirSync, mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,44 +10,45 @@
 import { Child } from './Child.js';
 import { findFreePorts } from './Ports.js';
 
-const PROGRAM = 'dist/redwingwharf.cjs';
-const FAKES = 'dist/fakes.cjs';
+const PROGRAM_FILE = 'dist/redwingwharf.cjs';
+const FAKES_FILE = 'dist/fakes.cjs';
 const START_TIMEOUT_MS = 20_000;
 
-/** One target with its sidecar. */
+/** A target and its sidecar. The target is a fake. */
 export interface ITargetPlan {
   readonly id: string;
   readonly service: string;
   readonly kind: 'engine' | 'plain';
   readonly model?: string;
   readonly dataCentre: string;
-  /** Further arguments of the fake. */
+  /** Additional command line arguments of the fake. */
   readonly fakeArgs?: readonly string[];
 }
 
-/** One entry. It is a control member too unless the plan says otherwise. */
+/** An entry. It is also a control member unless `hasControl` is false. */
 export interface IEntryPlan {
   readonly name: string;
   readonly dataCentre: string;
   readonly hasControl?: boolean;
 }
 
-/** What to deploy. */
+/** Processes and files of a deployment. */
 export interface IDeploymentPlan {
   readonly region: string;
   readonly entries: readonly IEntryPlan[];
   readonly targets: readonly ITargetPlan[];
-  /** Targets that `start` leaves out, to be started later. */
+  /** Ids of targets that `start` does not start. */
   readonly lateTargets?: readonly string[];
-  /** Content of the operator's files, by folder. */
+  /** Content of the operator's files, by the name of their folder. */
   readonly operatorFiles: Readonly<Record<string, unknown>>;
   readonly policy?: string;
-  /** Bundle of the program; the product's if not given. */
+  /** Bundle of the program; by default that of the product. */
   readonly program?: string;
-  /** Module that is loaded before the program, and further environment of its processes. */
+  /** Module that the processes of the program load before their own code. */
   readonly preload?: string;
+  /** Additional environment variables of the processes of the program. */
   readonly environment?: Readonly<Record<string, string>>;
-  /** Starts a KV-cache store that the sidecars of engines use. */
+  /** Starts a KV cache store that the sidecars of engines use. */
   readonly hasKvCacheStore?: boolean;
 }
 
@@ -65,7 +69,7 @@
   readonly stderr: string;
 }
 
-/** Processes, settings and data folders of one deployment. */
+/** Manages the processes, settings, data and logs of one deployment in a temporary folder. */
 export class Deployment {
   private readonly _children = new Map<string, Child>();
 
@@ -77,18 +81,18 @@
     private readonly _kvCacheStorePort: number,
   ) {}
 
-  /** Writes the settings of a deployment into a new folder. */
+  /** Chooses free ports and writes the settings into a new folder; starts no process. */
   public static async create(plan: IDeploymentPlan): Promise<Deployment> {
     const folder = mkdtempSync(join(tmpdir(), 'redwingwharf-'));
     const ports = await findFreePorts((plan.entries.length + plan.targets.length) * 2 + 1);
-    const takePort = (): number => ports.shift() ?? 0;
+    const getNextPort = (): number => ports.shift() ?? 0;
     const entryPorts = new Map(
-      plan.entries.map(({ name }) => [name, { public: takePort(), internal: takePort() }]),
+      plan.entries.map(({ name }) => [name, { public: getNextPort(), internal: getNextPort() }]),
     );
     const targetPorts = new Map(
-      plan.targets.map(({ id }) => [id, { target: takePort(), sidecar: takePort() }]),
+      plan.targets.map(({ id }) => [id, { target: getNextPort(), sidecar: getNextPort() }]),
     );
-    const deployment = new Deployment(folder, plan, entryPorts, targetPorts, takePort());
+    const deployment = new Deployment(folder, plan, entryPorts, targetPorts, getNextPort());
     deployment._writeFiles();
     return deployment;
   }
@@ -97,17 +101,17 @@
     return join(this.folder, 'secret');
   }
 
-  /** File to which the fakes write what no target may see. */
+  /** File to which the fakes append violations, such as keys of clients that reached a target. */
   public get violationsFile(): string {
     return join(this.folder, 'violations.jsonl');
   }
 
-  /** File that tells the preloaded module of a process which connections to disturb. */
+  /** File from which the preloaded module of a process reads its disturbances. */
   public getNetworkFile(name: string): string {
     return join(this.folder, `${name}.network`);
   }
 
-  /** File to which the plain fakes write their effects. */
+  /** File to which the plain fakes append the effects of orders. */
   public get ledgerFile(): string {
     return join(this.folder, 'effects.jsonl');
   }
@@ -124,16 +128,18 @@
     return this._children.get(name);
   }
 
-  /** Base URL for callers. */
+  /** Base URL of an entry for clients. */
   public getUrl(entry: string): string {
     return `http://127.0.0.1:${this._entryPorts.get(entry)?.public ?? 0}`;
   }
 
+  /** Internal address of an entry, or of the sidecar of a target. */
   public getInternalAddress(name: string): string {
     const port = this._entryPorts.get(name)?.internal ?? this._targetPorts.get(name)?.sidecar;
     return `127.0.0.1:${port ?? 0}`;
   }
 
+  /** Base URL of a target, which bypasses the program. */
   public getTargetUrl(id: string): string {
     return `http://127.0.0.1:${this._targetPorts.get(id)?.target ?? 0}`;
   }
@@ -144,23 +150,27 @@
       .map(({ name }) => this.getInternalAddress(name));
   }
 
-  /** Founds the control group on the first entry's disk and starts everything. */
+  /**
+   * Bootstraps the consensus group in the data directory of the first entry and starts all processes.
+   */
   public async start(): Promise<void> {
-    const [first = ''] = this.listEntries();
-    const settings = this._getSettingsFile(first);
-    const founded = await this.runCommand(['init', '--settings', settings]);
-    if (founded.code !== 0) {
-      throw new Error(`init failed: ${founded.stderr}${founded.stdout}`);
+    const [firstEntry = ''] = this.listEntries();
+    const settings = this._getSettingsFile(firstEntry);
+    const initResult = await this.runCommand(['init', '--settings', settings]);
+    if (initResult.code !== 0) {
+      throw new Error(
+        `init of the consensus group failed: ${initResult.stderr}${initResult.stdout}`,
+      );
     }
     for (const name of this.listEntries()) {
       this.startEntry(name);
     }
     if (this._plan.hasKvCacheStore === true) {
       this._spawn('kv-store', [
-        FAKES,
+        FAKES_FILE,
         'kv-store',
         '--listen',
-        this._kvCacheStore,
+        this._kvCacheStoreAddress,
         '--chunks',
         '512',
       ]);
@@ -185,7 +195,7 @@
     const port = this._targetPorts.get(id)?.target ?? 0;
     const model = plan?.model === undefined ? [] : ['--model', plan.model];
     return this._spawn(`fake-${id}`, [
-      FAKES,
+      FAKES_FILE,
       plan?.kind ?? 'plain',
       '--listen',
       `127.0.0.1:${port}`,
@@ -200,40 +210,40 @@
     ]);
   }
 
-  public getDataFolder(entry: string): string {
+  public getDataDirectory(entry: string): string {
     return join(this.folder, `${entry}-data`);
   }
 
-  /** Deletes the disk of a stopped entry. */
+  /** Deletes the data directory of a stopped entry. */
   public deleteDisk(entry: string): void {
-    rmSync(this.getDataFolder(entry), { recursive: true, force: true });
+    rmSync(this.getDataDirectory(entry), { recursive: true, force: true });
   }
 
-  /** Runs a command of the program. */
+  /** Runs a command of the program; a command that fails resolves with its exit code. */
   public async runCommand(args: readonly string[]): Promise<ICommandResult> {
     return new Promise((resolve) => {
-      execFile(process.execPath, [this._program, ...args], (error, stdout, stderr) => {
+      execFile(process.execPath, [this._programFile, ...args], (error, stdout, stderr) => {
         const code = error === null ? 0 : Number(error.code ?? 1);
         resolve({ code, stdout, stderr });
       });
     });
   }
 
-  /** Runs an operator's command against this deployment. */
+  /** Runs an operator's command against the control members of this deployment. */
   public async runOperator(args: readonly string[]): Promise<ICommandResult> {
     const control = this.listControlAddresses().join(',');
     return this.runCommand([...args, '--control', control, '--secret-file', this.secretFile]);
   }
 
-  /** Waits until the condition holds; throws with the last error after a time limit. */
+  /** Waits until the condition holds; throws with the last error of the condition after `timeoutMs`. */
   public async waitFor(
-    what: string,
+    description: string,
     condition: () => Promise<boolean>,
     timeoutMs = START_TIMEOUT_MS,
   ): Promise<void> {
-    const giveUpAt = performance.now() + timeoutMs;
+    const deadlineAt = performance.now() + timeoutMs;
     let lastError = '';
-    while (performance.now() < giveUpAt) {
+    while (performance.now() < deadlineAt) {
       try {
         if (await condition()) {
           return;
@@ -243,7 +253,9 @@
       }
       await delay(50);
     }
-    throw new Error(`timed out waiting for ${what} ${lastError}; logs are in ${this.folder}`);
+    throw new Error(
+      `timed out waiting for ${description}; last error: "${lastError}"; logs are in ${this.folder}`,
+    );
   }
 
   public async isReady(entry: string): Promise<boolean> {
@@ -251,7 +263,7 @@
     return response.status === 200;
   }
 
-  /** Waits until an entry answers a keyed lookup; false after a time limit. */
+  /** Waits until an entry answers a lookup with this key; throws after a time limit. */
   public async waitForAnswer(entry: string, key: string): Promise<boolean> {
     const headers = { authorization: `Bearer ${key}` };
     const url = `${this.getUrl(entry)}/stock/linen`;
@@ -262,7 +274,7 @@
     return true;
   }
 
-  /** Kills all processes. */
+  /** Kills all processes and waits for their exit. */
   public async stop(): Promise<void> {
     await Promise.all([...this._children.values()].map((child) => child.stop('SIGKILL')));
   }
@@ -271,13 +283,13 @@
     rmSync(this.folder, { recursive: true, force: true });
   }
 
-  private get _program(): string {
-    return this._plan.program ?? PROGRAM;
+  private get _programFile(): string {
+    return this._plan.program ?? PROGRAM_FILE;
   }
 
   private _startProgram(name: string): Child {
     const { preload, environment } = this._plan;
-    const args = [this._program, 'run', '--settings', this._getSettingsFile(name)];
+    const args = [this._programFile, 'run', '--settings', this._getSettingsFile(name)];
     return this._spawn(name, preload === undefined ? args : ['--require', preload, ...args], {
       ...environment,
       REDWINGWHARF_NETWORK_FILE: this.getNetworkFile(name),
@@ -294,7 +306,7 @@
     return child;
   }
 
-  private get _kvCacheStore(): string {
+  private get _kvCacheStoreAddress(): string {
     return `127.0.0.1:${this._kvCacheStorePort}`;
   }
 
@@ -323,12 +335,12 @@
 
   private _buildEntrySettings({ name, dataCentre, hasControl }: IEntryPlan): unknown {
     const control = this.listControlAddresses();
-    const own = this.getInternalAddress(name);
+    const ownAddress = this.getInternalAddress(name);
     return {
       instance: name,
       region: this._plan.region,
       dataCentre,
-      internal: own,
+      internal: ownAddress,
       clusterSecretFile: 'secret',
       entry: {
         listen: this.getUrl(name).slice('http://'.length),
@@ -341,7 +353,7 @@
             control: {
               memberId: name,
               dataFolder: `${name}-data`,
-              peers: control.filter((address) => address !== own),
+              peers: control.filter((address) => address !== ownAddress),
             },
           }),
     };
@@ -358,7 +370,7 @@
       feed: entries,
       sidecar: {
         announceTo: entries,
-        ...(this._plan.hasKvCacheStore === true ? { kvCacheStore: this._kvCacheStore } : {}),
+        ...(this._plan.hasKvCacheStore === true ? { kvCacheStore: this._kvCacheStoreAddress } : {}),
         target: {
           id: target.id,
           service: target.service,
--- a/tools/harness/Franchise.ts
+++ b/tools/harness/Franchise.ts
@@ -1,16 +1,16 @@
-/** A deployment in the form of the franchise: model engines, an order desk and its accounts. */
+/** Example deployment of a franchise: a model service, an order desk service and the client accounts. */
 import type { IDeploymentPlan } from './Deployment.js';
 
 const SERVICES = ['lace', 'order-desk'];
 
-/** Entries with disks in three data centres. */
+/** One entry, which is also a control member, in each of three data centres. */
 export const FRANCHISE_ENTRIES: IDeploymentPlan['entries'] = [
   { name: 'entry-1', dataCentre: 'hr-a' },
   { name: 'entry-2', dataCentre: 'hr-b' },
   { name: 'entry-3', dataCentre: 'hr-c' },
 ];
 
-/** Operator files of the two services. */
+/** Files of the operator for the two services. */
 export const FRANCHISE_SERVICES: IDeploymentPlan['operatorFiles'] = {
   lace: {
     services: [{ name: 'lace', kind: 'model', models: ['lace-1'], defaultOutputTokens: 64 }],
@@ -31,7 +31,10 @@
   },
 };
 
-/** Three entries with disks, two engines and two order desk targets in three data centres. */
+/**
+ * Three entries that are control members, two engines and two order desk targets in three data
+ * centres.
+ */
 export const FRANCHISE_PLAN: IDeploymentPlan = {
   region: 'hr-central',
   entries: FRANCHISE_ENTRIES,
--- a/tools/harness/Ports.ts
+++ b/tools/harness/Ports.ts
@@ -1,8 +1,11 @@
-/** Free ports on loopback. */
+/** Finds free ports on loopback. */
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
 
-/** Finds free ports by binding them all at once. */
+/**
+ * Finds distinct free ports by binding all of them before any is closed. They are not reserved
+ * afterwards.
+ */
 export async function findFreePorts(count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer());
   for (const server of servers) {
