--- a/tools/bench.ts
+++ b/tools/bench.ts
@@ -1,5 +1,5 @@
 /**
- * Compares routing policies on simulated engines.
+ * Compares routing policies on simulated engines and prints their figures.
  *
  * npm run bench -- --deployment authority|franchise --policy NAME --seed N [--seeds M]
  *   [--seconds S] [--faults on|off] [--load FACTOR]
@@ -12,8 +12,8 @@
 import type { PolicyName } from '../src/policy/CreatePolicy.js';
 import { POLICY_NAMES } from './bench/Policies.js';
 import {
-  checkTargets,
-  formatChecks,
+  checkObjectives,
+  formatObjectiveChecks,
   formatResult,
   formatTable,
   summariseRuns,
@@ -21,6 +21,7 @@
 import { explainTail, type ITailSample } from './bench/Tail.js';
 import { runOnce } from './bench/Simulation.js';
 
+/** Command-line options; a run of `--decision-times` has none. */
 interface IBenchOptions {
   readonly deployment: IDeployment;
   readonly policy: PolicyName;
@@ -32,6 +33,7 @@
   readonly isTailExplained: boolean;
 }
 
+/** Parses the command line; returns undefined if only decision times are to be measured. */
 function readOptions(): IBenchOptions | undefined {
   const { values } = parseArgs({
     options: {
@@ -72,10 +74,10 @@
 }
 
 function runSeeds(options: IBenchOptions, policy: PolicyName | 'oracle'): IRunFigures[] {
-  const tail: ITailSample[] | undefined = options.isTailExplained ? [] : undefined;
-  const runs = options.seeds.map((seed) => runOnce({ ...options, policy, seed, tail }));
-  if (tail !== undefined) {
-    console.log(`${policy}: ${explainTail(tail)}`);
+  const tailSamples: ITailSample[] | undefined = options.isTailExplained ? [] : undefined;
+  const runs = options.seeds.map((seed) => runOnce({ ...options, policy, seed, tailSamples }));
+  if (tailSamples !== undefined) {
+    console.log(`${policy}: ${explainTail(tailSamples)}`);
   }
   return runs;
 }
@@ -89,10 +91,10 @@
   const names = options.isComparison
     ? [...POLICY_NAMES, 'oracle' as const]
     : [options.policy, 'oracle' as const];
-  const rows = new Map(names.map((name) => [name as string, runSeeds(options, name)]));
-  console.log(formatTable(rows));
+  const runsByPolicy = new Map(names.map((name) => [name as string, runSeeds(options, name)]));
+  console.log(formatTable(runsByPolicy));
   if (options.isComparison) {
-    console.log(formatChecks(checkTargets(rows, options.hasFaults)));
+    console.log(formatObjectiveChecks(checkObjectives(runsByPolicy, options.hasFaults)));
   }
   const context = {
     deployment: options.deployment.name,
@@ -103,8 +105,8 @@
     notices: options.hasUseNotices ? 'used' : 'evicted',
     requestsPerSecond: options.deployment.requestsPerSecond,
   };
-  const policy = summariseRuns(rows.get(options.policy) ?? []);
-  console.log(formatResult(context, policy, summariseRuns(rows.get('oracle') ?? [])));
+  const policy = summariseRuns(runsByPolicy.get(options.policy) ?? []);
+  console.log(formatResult(context, policy, summariseRuns(runsByPolicy.get('oracle') ?? [])));
 }
 
 main();
--- a/tools/bench/Engine.ts
+++ b/tools/bench/Engine.ts
@@ -1,65 +1,70 @@
-/** Fake engine with continuous batching and a prefix cache in limited memory. */
+/** Simulated engine with continuous batching and a prefix cache in limited memory. */
 import { CHUNK_TOKENS } from '../../src/policy/PrefixChain.js';
 import type { ChainHash, IBusyReceipt, IRandom } from '../../src/policy/Types.js';
 import type { EventQueue } from './EventQueue.js';
 
-/** Time for one output token: alone, and more for each further request in the batch. */
+/** Time for one output token: the base, and an addition for each request in the batch. */
 const DECODE_STEP_MS = 12;
 const DECODE_STEP_PER_REQUEST_MS = 0.4;
 
-/** Part of the prefill speed that each generating request takes, and at most. */
-const DECODE_SHARE = 0.01;
+/** Fraction of the prefill speed that each decoding request costs, and the limit of their sum. */
+const DECODE_SHARE_PER_REQUEST = 0.01;
 const MAX_DECODE_SHARE = 0.4;
 
-/** Evicted hashes in one announcement. */
+/** Limit of evicted chunks in one announcement; the latest are sent. */
 const MAX_ANNOUNCED_EVICTIONS = 32;
 
-/** Hashes of used hot chunks in one announcement, the latest ones. */
-const MAX_ANNOUNCED_USES = 8;
+/** Limit of used hot chunks in one announcement; the latest are sent. */
+const MAX_ANNOUNCED_HOT_CHUNKS = 8;
 
-/** A chunk used at least as often counts as hot in announcements. */
-const HOT_USES = 2;
+/** A chunk with at least this many uses is hot. Announcements contain hot chunks only. */
+const MIN_HOT_CHUNK_USES = 2;
 
-/** Age of a load report on average: half an interval of the announcements and their mean lag. */
-export const REPORT_LAG_MS = 400;
+/** Mean age of a load report: half the announcement interval and the mean announcement delay. */
+export const MEAN_REPORT_AGE_MS = 400;
 
-/** Time from a crash until the engine is back. */
-const RESTART_MS = 800;
+/** Time from a crash until the engine accepts requests again. */
+const RESTART_DURATION_MS = 800;
 
+/** One request as an engine receives it, with callbacks for its outcome. */
 export interface IEngineJob {
   readonly chain: readonly ChainHash[];
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly priority: number;
-  /** Incarnation that the sender relied on. */
+  /** Incarnation that the sender expects; in any other incarnation the job fails. */
   readonly incarnation: string;
-  /** Number of the entry that sent the job, and when. */
-  readonly sender: number;
+  /** Index of the entry that sent the job, and the time at which it did. */
+  readonly senderIndex: number;
   readonly sentAt: number;
   readonly onFirstToken: (now: number) => void;
-  readonly onDone: (cachedPromptTokens: number, now: number) => void;
+  readonly onCompleted: (cachedPromptTokens: number, now: number) => void;
   readonly onFailed: (now: number) => void;
-  /** The job is refused unrun when the sidecar expects a longer time to first token. */
+  /**
+   * The sidecar refuses the job without running it when it expects a longer time to first token.
+   */
   readonly maxTtftMs: number;
   readonly onBusy: (receipt: IBusyReceipt, now: number) => void;
 }
 
 interface IRunningJob {
   readonly job: IEngineJob;
+  /** Chunks for the partial prompt chunk and the output, which are not shared. */
   readonly privateChunks: number;
   readonly cachedPromptTokens: number;
 }
 
+/** A cached chunk; with pins it is used by jobs in progress and must not be evicted. */
 interface IChunk {
   pins: number;
   uses: number;
 }
 
-/** Counts over the fleet. */
-export interface IFleetMeter {
-  /** Chunks that some engine computed before. */
-  readonly computed: Set<ChainHash>;
-  /** Receives the figures of each computed prompt. */
+/** Shared by all engines of a run to count computed and recomputed prompt tokens. */
+export interface IPrefillObserver {
+  /** Chunks that any engine has computed; computing one of them again is wasted work. */
+  readonly computedChunks: Set<ChainHash>;
+  /** Called when the prefill of a prompt begins. */
   readonly onPrefill: (
     job: IEngineJob,
     cachedTokens: number,
@@ -69,166 +74,183 @@
   ) => void;
 }
 
+/** Fixed properties of one engine. */
 export interface IEngineSpec {
   readonly id: string;
   readonly dataCentre: string;
-  readonly chunks: number;
+  readonly capacityChunks: number;
   readonly prefillTokensPerMs: number;
 }
 
-/** Load at one instant. */
+/** Load of an engine at one instant. */
 export interface IEngineLoad {
   readonly queued: number;
   readonly running: number;
   readonly freeBlocks: number;
-  /** What the sidecar expects. */
+  /** Wait for a new job of priority 0, as the sidecar estimates it. */
   readonly waitMs: number;
 }
 
-/** What an engine announces. */
+/** Content of one announcement. */
 export interface IEngineReport extends IEngineLoad {
   readonly incarnation: string;
-  readonly evicted: readonly ChainHash[];
-  readonly used: readonly ChainHash[];
+  readonly evictedChunks: readonly ChainHash[];
+  readonly usedHotChunks: readonly ChainHash[];
 }
 
+/**
+ * Computes prompts one after another by priority, decodes any number of requests at the same time
+ * and evicts the least recently used chunks when memory is short. It also plays the sidecar, which
+ * refuses jobs that would wait too long and collects evictions and uses for the announcements.
+ */
 export class Engine {
   public readonly id: string;
   public readonly dataCentre: string;
   public isUp = true;
   private readonly _spec: IEngineSpec;
   private readonly _events: EventQueue;
-  private readonly _meter: IFleetMeter;
+  private readonly _prefillObserver: IPrefillObserver;
   private readonly _random: IRandom;
-  private _run = 0;
-  /** Least recently used first. */
+  private _incarnationNumber = 0;
+  /** Chunks in memory, least recently used first. */
   private readonly _cache = new Map<ChainHash, IChunk>();
   private _privateChunks = 0;
-  private readonly _transit = new Set<IEngineJob>();
+  private readonly _jobsInTransit = new Set<IEngineJob>();
   private readonly _queue: IEngineJob[] = [];
-  private _prefill: IRunningJob | undefined;
+  private _currentPrefill: IRunningJob | undefined;
   private _prefillEndsAt = 0;
   private _prefillStartedAt = 0;
-  /** Prompt tokens to compute as the sidecar expected them when it accepted the job. */
-  private readonly _expectedMisses = new Map<IEngineJob, number>();
+  /** Prompt tokens to compute, as the sidecar estimated them when it accepted the job. */
+  private readonly _expectedUncachedTokens = new Map<IEngineJob, number>();
   private readonly _running = new Set<IRunningJob>();
-  private _evicted: ChainHash[] = [];
-  /** Hot chunks used since the last announcement, the latest last. */
-  private readonly _used = new Set<ChainHash>();
-
-  constructor(spec: IEngineSpec, events: EventQueue, meter: IFleetMeter, random: IRandom) {
+  private _evictedHotChunks: ChainHash[] = [];
+  /** Hot chunks used since the last announcement, the most recently used last. */
+  private readonly _usedHotChunks = new Set<ChainHash>();
+
+  constructor(
+    spec: IEngineSpec,
+    events: EventQueue,
+    prefillObserver: IPrefillObserver,
+    random: IRandom,
+  ) {
     this.id = spec.id;
     this.dataCentre = spec.dataCentre;
     this._spec = spec;
     this._events = events;
-    this._meter = meter;
+    this._prefillObserver = prefillObserver;
     this._random = random;
   }
 
   public get incarnation(): string {
-    return `${this.id}/${this._run}`;
+    return `${this.id}/${this._incarnationNumber}`;
   }
 
-  /** Takes a job that arrives after `hopMs`. */
-  public send(job: IEngineJob, hopMs: number, now: number): void {
-    this._transit.add(job);
-    this._events.schedule(now + hopMs, (at) => {
-      this._transit.delete(job);
+  /** Delivers a job to the engine after `hopLatencyMs`. */
+  public send(job: IEngineJob, hopLatencyMs: number, now: number): void {
+    this._jobsInTransit.add(job);
+    this._events.schedule(now + hopLatencyMs, (at) => {
+      this._jobsInTransit.delete(job);
       this._accept(job, at);
     });
   }
 
-  /** Loses everything and comes back empty. */
+  /** Fails all accepted jobs and restarts with an empty cache as a new incarnation. */
   public crash(now: number): void {
-    const lost = [...this._queue, ...[...this._running].map((running) => running.job)];
-    if (this._prefill !== undefined) {
-      lost.push(this._prefill.job);
+    const lostJobs = [...this._queue, ...[...this._running].map((running) => running.job)];
+    if (this._currentPrefill !== undefined) {
+      lostJobs.push(this._currentPrefill.job);
     }
-    this._run += 1;
+    this._incarnationNumber += 1;
     this.isUp = false;
     this._cache.clear();
     this._queue.length = 0;
     this._running.clear();
-    this._prefill = undefined;
-    this._expectedMisses.clear();
+    this._currentPrefill = undefined;
+    this._expectedUncachedTokens.clear();
     this._privateChunks = 0;
-    this._evicted = [];
-    this._used.clear();
-    this._events.schedule(now + RESTART_MS, () => {
+    this._evictedHotChunks = [];
+    this._usedHotChunks.clear();
+    this._events.schedule(now + RESTART_DURATION_MS, () => {
       this.isUp = true;
     });
-    for (const job of lost) {
+    for (const job of lostJobs) {
       job.onFailed(now);
     }
   }
 
-  /** State for an announcement; evictions are announced once. */
+  /** Returns the state to announce. Evictions and uses are announced once, so this clears them. */
   public report(now: number): IEngineReport {
-    const evicted = this._evicted.slice(-MAX_ANNOUNCED_EVICTIONS);
-    const used = [...this._used].filter((hash) => this._cache.has(hash));
-    this._evicted = [];
-    this._used.clear();
+    const evicted = this._evictedHotChunks.slice(-MAX_ANNOUNCED_EVICTIONS);
+    const used = [...this._usedHotChunks].filter((hash) => this._cache.has(hash));
+    this._evictedHotChunks = [];
+    this._usedHotChunks.clear();
     return {
       ...this.getLoad(now),
-      used: used.slice(-MAX_ANNOUNCED_USES),
+      usedHotChunks: used.slice(-MAX_ANNOUNCED_HOT_CHUNKS),
       incarnation: this.incarnation,
-      evicted: evicted.filter((hash) => !this._cache.has(hash)),
+      evictedChunks: evicted.filter((hash) => !this._cache.has(hash)),
     };
   }
 
-  /** Load that an answer carries. */
+  /** Returns the load that accompanies an answer. */
   public getLoad(now: number): IEngineLoad {
     return {
-      queued: this._queue.length + (this._prefill === undefined ? 0 : 1),
+      queued: this._queue.length + (this._currentPrefill === undefined ? 0 : 1),
       running: this._running.size,
-      freeBlocks: this._spec.chunks - this._cache.size - this._privateChunks,
-      waitMs: this._expectWait(0, now),
+      freeBlocks: this._spec.capacityChunks - this._cache.size - this._privateChunks,
+      waitMs: this._estimateWait(0, now),
     };
   }
 
-  /** Exact time to first token of a job sent now, less the hop: what only the oracle may ask. */
+  /**
+   * Computes the exact time to first token of a job sent now, without the network hop. Reserved for
+   * the oracle and the analysis of the tail, since no entry can know it.
+   */
   public computeTtft(chain: readonly ChainHash[], promptTokens: number, now: number): number {
     const pending = new Set<ChainHash>();
-    let waitMs = this._prefill === undefined ? 0 : this._prefillEndsAt - now;
-    for (const job of [...this._queue, ...this._transit]) {
-      waitMs += this._estimatePrefill(job.chain, job.promptTokens, pending);
+    let waitMs = this._currentPrefill === undefined ? 0 : this._prefillEndsAt - now;
+    for (const job of [...this._queue, ...this._jobsInTransit]) {
+      waitMs += this._estimatePrefillMs(job.chain, job.promptTokens, pending);
       job.chain.forEach((hash) => pending.add(hash));
     }
-    return waitMs + this._estimatePrefill(chain, promptTokens, pending);
+    return waitMs + this._estimatePrefillMs(chain, promptTokens, pending);
   }
 
-  /** Exact wait for queued work, and the part of it that `sender` cannot know from reports. */
-  public computeWait(sender: number, now: number): { waitMs: number; unseenMs: number } {
+  /**
+   * Computes the exact wait for queued jobs, and how much of it the entry `senderIndex` cannot know
+   * because other entries sent these jobs after the last report.
+   */
+  public computeWait(senderIndex: number, now: number): { waitMs: number; unseenMs: number } {
     const pending = new Set<ChainHash>();
-    let waitMs = this._prefill === undefined ? 0 : this._prefillEndsAt - now;
-    let unseenMs = isUnseen(this._prefill?.job, sender, now) ? waitMs : 0;
-    for (const job of [...this._queue, ...this._transit]) {
-      const prefillMs = this._estimatePrefill(job.chain, job.promptTokens, pending);
+    let waitMs = this._currentPrefill === undefined ? 0 : this._prefillEndsAt - now;
+    let unseenMs = isUnseen(this._currentPrefill?.job, senderIndex, now) ? waitMs : 0;
+    for (const job of [...this._queue, ...this._jobsInTransit]) {
+      const prefillMs = this._estimatePrefillMs(job.chain, job.promptTokens, pending);
       job.chain.forEach((hash) => pending.add(hash));
       waitMs += prefillMs;
-      unseenMs += isUnseen(job, sender, now) ? prefillMs : 0;
+      unseenMs += isUnseen(job, senderIndex, now) ? prefillMs : 0;
     }
     return { waitMs, unseenMs };
   }
 
-  private _estimatePrefill(
+  private _estimatePrefillMs(
     chain: readonly ChainHash[],
     promptTokens: number,
     pending: ReadonlySet<ChainHash>,
   ): number {
     let chunks = 0;
-    while (chunks < chain.length && this._isHeld(chain[chunks] ?? '', pending)) {
+    while (chunks < chain.length && this._isCachedOrPending(chain[chunks] ?? '', pending)) {
       chunks += 1;
     }
     return this._computePrefillMs(promptTokens - chunks * CHUNK_TOKENS);
   }
 
-  private _isHeld(hash: ChainHash, pending: ReadonlySet<ChainHash>): boolean {
+  private _isCachedOrPending(hash: ChainHash, pending: ReadonlySet<ChainHash>): boolean {
     return this._cache.has(hash) || pending.has(hash);
   }
 
   private _computePrefillMs(tokens: number): number {
-    const decodeShare = Math.min(MAX_DECODE_SHARE, this._running.size * DECODE_SHARE);
+    const decodeShare = Math.min(MAX_DECODE_SHARE, this._running.size * DECODE_SHARE_PER_REQUEST);
     return Math.max(1, tokens) / (this._spec.prefillTokensPerMs * (1 - decodeShare));
   }
 
@@ -237,63 +259,67 @@
       job.onFailed(now);
       return;
     }
-    const missedTokens = this._countMissed(job);
-    const waitMs = this._expectWait(job.priority, now);
-    if (waitMs + missedTokens / this._spec.prefillTokensPerMs > job.maxTtftMs) {
-      job.onBusy({ waitMs, cachedPromptTokens: job.promptTokens - missedTokens }, now);
+    const uncachedTokens = this._countUncachedTokens(job);
+    const waitMs = this._estimateWait(job.priority, now);
+    if (waitMs + uncachedTokens / this._spec.prefillTokensPerMs > job.maxTtftMs) {
+      job.onBusy({ waitMs, cachedPromptTokens: job.promptTokens - uncachedTokens }, now);
       return;
     }
-    this._expectedMisses.set(job, missedTokens);
-    const place = this._queue.findIndex((item) => item.priority < job.priority);
-    this._queue.splice(place < 0 ? this._queue.length : place, 0, job);
-    this._startNext(now);
+    this._expectedUncachedTokens.set(job, uncachedTokens);
+    const insertIndex = this._queue.findIndex((item) => item.priority < job.priority);
+    this._queue.splice(insertIndex < 0 ? this._queue.length : insertIndex, 0, job);
+    this._startNextPrefill(now);
   }
 
-  /** Misses by the sidecar's index, with the chunks of the jobs that it accepted before. */
-  private _countMissed(job: IEngineJob): number {
+  /**
+   * Counts the prompt tokens that the sidecar expects the engine to compute: chunks that are cached
+   * or belong to queued jobs count as cached.
+   */
+  private _countUncachedTokens(job: IEngineJob): number {
     const pending = new Set(this._queue.flatMap((item) => item.chain));
     let chunks = 0;
-    while (chunks < job.chain.length && this._isHeld(job.chain[chunks] ?? '', pending)) {
+    while (chunks < job.chain.length && this._isCachedOrPending(job.chain[chunks] ?? '', pending)) {
       chunks += 1;
     }
     return job.promptTokens - chunks * CHUNK_TOKENS;
   }
 
   /**
-   * Wait as the sidecar expects it: from the tokens expected when the jobs were accepted and the
-   * speed of an engine that generates nothing. What is in progress counts from its start.
+   * Estimates the wait as the sidecar does: from the uncached tokens expected when the jobs were
+   * accepted and the prefill speed of an engine that decodes nothing. The elapsed time of the
+   * prefill in progress is subtracted.
    */
-  private _expectWait(priority: number, now: number): number {
+  private _estimateWait(priority: number, now: number): number {
     const speed = this._spec.prefillTokensPerMs;
     let waitMs = 0;
-    for (const [job, missedTokens] of this._expectedMisses) {
-      if (job === this._prefill?.job) {
-        waitMs += Math.max(0, missedTokens / speed - (now - this._prefillStartedAt));
+    for (const [job, uncachedTokens] of this._expectedUncachedTokens) {
+      if (job === this._currentPrefill?.job) {
+        waitMs += Math.max(0, uncachedTokens / speed - (now - this._prefillStartedAt));
       } else if (job.priority >= priority) {
-        waitMs += missedTokens / speed;
+        waitMs += uncachedTokens / speed;
       }
     }
     return waitMs;
   }
 
-  private _startNext(now: number): void {
+  private _startNextPrefill(now: number): void {
     const job = this._queue[0];
-    if (job === undefined || this._prefill !== undefined) {
+    if (job === undefined || this._currentPrefill !== undefined) {
       return;
     }
-    const cachedChunks = this._reserve(job);
+    const cachedChunks = this._reserveMemory(job);
     if (cachedChunks === undefined) {
       return;
     }
     this._queue.shift();
     const cachedPromptTokens = cachedChunks * CHUNK_TOKENS;
     const prefillMs = this._computePrefillMs(job.promptTokens - cachedPromptTokens);
-    const running = { job, privateChunks: this._countPrivate(job), cachedPromptTokens };
-    this._prefill = running;
+    const running = { job, privateChunks: this._countPrivateChunks(job), cachedPromptTokens };
+    this._currentPrefill = running;
     this._prefillEndsAt = now + prefillMs;
     this._prefillStartedAt = now;
     this._recordPrefill(job, cachedChunks, prefillMs, now);
-    this._scheduleOwn(now + prefillMs, (at) => {
+    this._scheduleInIncarnation(now + prefillMs, (at) => {
       this._beginDecode(running, at);
     });
   }
@@ -304,82 +330,88 @@
     prefillMs: number,
     now: number,
   ): void {
-    let wasted = 0;
+    let wastedTokens = 0;
     for (const hash of job.chain.slice(cachedChunks)) {
-      wasted += this._meter.computed.has(hash) ? CHUNK_TOKENS : 0;
-      this._meter.computed.add(hash);
+      wastedTokens += this._prefillObserver.computedChunks.has(hash) ? CHUNK_TOKENS : 0;
+      this._prefillObserver.computedChunks.add(hash);
     }
-    this._meter.onPrefill(job, cachedChunks * CHUNK_TOKENS, wasted, prefillMs, now);
+    this._prefillObserver.onPrefill(job, cachedChunks * CHUNK_TOKENS, wastedTokens, prefillMs, now);
   }
 
   private _beginDecode(running: IRunningJob, now: number): void {
-    this._prefill = undefined;
-    this._expectedMisses.delete(running.job);
+    this._currentPrefill = undefined;
+    this._expectedUncachedTokens.delete(running.job);
     this._running.add(running);
     running.job.onFirstToken(now);
     const stepMs = DECODE_STEP_MS + DECODE_STEP_PER_REQUEST_MS * this._running.size;
-    const spread = 0.9 + 0.2 * this._random();
-    this._scheduleOwn(now + running.job.outputTokens * stepMs * spread, (at) => {
+    const jitter = 0.9 + 0.2 * this._random();
+    this._scheduleInIncarnation(now + running.job.outputTokens * stepMs * jitter, (at) => {
       this._finish(running, at);
     });
-    this._startNext(now);
+    this._startNextPrefill(now);
   }
 
   private _finish(running: IRunningJob, now: number): void {
     this._running.delete(running);
     this._privateChunks -= running.privateChunks;
     this._releaseChunks(running.job.chain);
-    running.job.onDone(running.cachedPromptTokens, now);
-    this._startNext(now);
+    running.job.onCompleted(running.cachedPromptTokens, now);
+    this._startNextPrefill(now);
   }
 
-  /** Runs only in the present incarnation. */
-  private _scheduleOwn(at: number, run: (now: number) => void): void {
-    const started = this._run;
+  /** Schedules a step that is skipped if the engine crashes before it. */
+  private _scheduleInIncarnation(at: number, run: (now: number) => void): void {
+    const scheduledIn = this._incarnationNumber;
     this._events.schedule(at, (now) => {
-      if (started === this._run) {
+      if (scheduledIn === this._incarnationNumber) {
         run(now);
       }
     });
   }
 
-  private _countPrivate(job: IEngineJob): number {
+  private _countPrivateChunks(job: IEngineJob): number {
     const tokens = job.promptTokens - job.chain.length * CHUNK_TOKENS + job.outputTokens;
     return Math.ceil(tokens / CHUNK_TOKENS);
   }
 
-  /** Pins the chunks of a job; the result is the number of those that were cached. */
-  private _reserve(job: IEngineJob): number | undefined {
-    let cached = 0;
-    while (cached < job.chain.length && this._cache.has(job.chain[cached] ?? '')) {
-      cached += 1;
+  /**
+   * Pins the chunks of a job and reserves its private chunks. Returns the number of chunks that
+   * were cached, or undefined when the memory does not suffice.
+   */
+  private _reserveMemory(job: IEngineJob): number | undefined {
+    let cachedChunks = 0;
+    while (cachedChunks < job.chain.length && this._cache.has(job.chain[cachedChunks] ?? '')) {
+      cachedChunks += 1;
     }
-    const held = job.chain.slice(0, cached);
-    this._holdChunks(held);
-    const needed = job.chain.length - cached + this._countPrivate(job);
-    if (!this._makeRoom(needed)) {
-      this._releaseChunks(held);
+    const cachedPrefix = job.chain.slice(0, cachedChunks);
+    this._acquireChunks(cachedPrefix);
+    const neededChunks = job.chain.length - cachedChunks + this._countPrivateChunks(job);
+    if (!this._ensureFreeChunks(neededChunks)) {
+      this._releaseChunks(cachedPrefix);
       return undefined;
     }
-    this._holdChunks(job.chain.slice(cached));
-    this._privateChunks += this._countPrivate(job);
-    return cached;
+    this._acquireChunks(job.chain.slice(cachedChunks));
+    this._privateChunks += this._countPrivateChunks(job);
+    return cachedChunks;
   }
 
-  private _holdChunks(chain: readonly ChainHash[]): void {
+  private _acquireChunks(chain: readonly ChainHash[]): void {
     for (const hash of chain) {
       const chunk = this._cache.get(hash) ?? { pins: 0, uses: 0 };
       chunk.pins += 1;
       chunk.uses += 1;
-      if (chunk.uses >= HOT_USES) {
-        this._used.delete(hash);
-        this._used.add(hash);
+      if (chunk.uses >= MIN_HOT_CHUNK_USES) {
+        this._usedHotChunks.delete(hash);
+        this._usedHotChunks.add(hash);
       }
       this._cache.set(hash, chunk);
     }
   }
 
-  /** Ends the use of the chunks; the head of the prefix becomes the most recently used. */
+  /**
+   * Unpins the chunks. The first chunk of the prefix becomes the most recently used, so that a
+   * prefix is evicted from its end.
+   */
   private _releaseChunks(chain: readonly ChainHash[]): void {
     for (const hash of [...chain].reverse()) {
       const chunk = this._cache.get(hash);
@@ -391,24 +423,29 @@
     }
   }
 
-  private _makeRoom(needed: number): boolean {
-    let missing = needed - (this._spec.chunks - this._cache.size - this._privateChunks);
-    for (const [hash, chunk] of missing > 0 ? this._cache : []) {
-      if (missing <= 0) {
+  /** Evicts unpinned chunks until `neededChunks` are free; returns whether that succeeded. */
+  private _ensureFreeChunks(neededChunks: number): boolean {
+    let missingChunks =
+      neededChunks - (this._spec.capacityChunks - this._cache.size - this._privateChunks);
+    for (const [hash, chunk] of missingChunks > 0 ? this._cache : []) {
+      if (missingChunks <= 0) {
         break;
       }
       if (chunk.pins === 0) {
         this._cache.delete(hash);
-        missing -= 1;
-        if (chunk.uses >= HOT_USES) {
-          this._evicted.push(hash);
+        missingChunks -= 1;
+        if (chunk.uses >= MIN_HOT_CHUNK_USES) {
+          this._evictedHotChunks.push(hash);
         }
       }
     }
-    return missing <= 0;
+    return missingChunks <= 0;
   }
 }
 
-function isUnseen(job: IEngineJob | undefined, sender: number, now: number): boolean {
-  return job !== undefined && job.sender !== sender && now - job.sentAt < REPORT_LAG_MS;
+/** Whether another entry sent the job so recently that no report contains it yet. */
+function isUnseen(job: IEngineJob | undefined, senderIndex: number, now: number): boolean {
+  return (
+    job !== undefined && job.senderIndex !== senderIndex && now - job.sentAt < MEAN_REPORT_AGE_MS
+  );
 }
--- a/tools/bench/Entry.ts
+++ b/tools/bench/Entry.ts
@@ -1,4 +1,4 @@
-/** One entry of the bench: admission, fair queue, routing, retries. */
+/** Simulated entry with the fair queue, retry budget and routing policies of the product. */
 import { FairQueue, type IQueuedRequest } from '../../src/admission/FairQueue.js';
 import { RetryBudget } from '../../src/admission/RetryBudget.js';
 import type {
@@ -8,42 +8,43 @@
   ITargetDecision,
   ITargetView,
 } from '../../src/policy/Types.js';
-import { REQUEST_DEADLINE_MS, type IDeployment } from './Deployments.js';
+import { REQUEST_TIMEOUT_MS, type IDeployment } from './Deployments.js';
 import type { Engine, IEngineReport } from './Engine.js';
 import type { EventQueue } from './EventQueue.js';
 import type { Measures } from './Measures.js';
 import type { ITailSample } from './Tail.js';
 import type { IArrival } from './Workload.js';
 
-/** Dispatches without a first token, for each engine of the fleet. */
-const WAITING_PER_ENGINE = 3;
+/** Limit of dispatches that await their first token, for each engine; the entries share the sum. */
+const MAX_PENDING_DISPATCHES_PER_ENGINE = 3;
 
-/** Time after the last announcement until a target counts as gone. */
-const ANNOUNCEMENT_LIMIT_MS = 2_000;
+/** Time after its last announcement at which a target counts as unhealthy. */
+const ANNOUNCEMENT_TIMEOUT_MS = 2_000;
 
-/** Pause before a retry; long enough not to hit a crashed engine again at once. */
-const RETRY_PAUSE_MS = 20;
+/** Backoff before a retry; long enough not to hit a crashed engine again at once. */
+const RETRY_BACKOFF_MS = 20;
 
-/** Time until a request without a usable target is tried again. */
-const NO_TARGET_PAUSE_MS = 100;
+/** Time after which a request that found no usable target is queued again. */
+const NO_TARGET_RETRY_INTERVAL_MS = 100;
 
-const MICROSECONDS_PER_MS = 1_000;
+const US_PER_MS = 1_000;
 
+/** What an entry shares with the rest of the simulation. */
 export interface IEntryContext {
-  /** Number of this entry. */
-  readonly number: number;
+  readonly entryIndex: number;
   readonly deployment: IDeployment;
   readonly events: EventQueue;
   readonly engines: readonly Engine[];
-  readonly weights: readonly number[];
+  readonly accountWeights: readonly number[];
   readonly measures: Measures;
-  /** Arrivals before this time warm the caches and are not measured. */
+  /** Requests that arrive before this time fill the caches; their latency is not recorded. */
   readonly warmupMs: number;
-  /** Whether announcements carry used chunks besides evicted ones. */
+  /** Whether announcements contain used hot chunks in addition to evicted ones. */
   readonly hasUseNotices: boolean;
+  /** Whether to record a sample of each measured request for the analysis of the tail. */
   readonly isTailExplained: boolean;
-  /** One-way hop in milliseconds. */
-  readonly hopOf: (engine: Engine) => number;
+  /** Returns the one-way network latency between this entry and an engine. */
+  readonly getHopLatencyMs: (engine: Engine) => number;
 }
 
 interface IOpenRequest {
@@ -52,61 +53,68 @@
   hasFirstToken: boolean;
 }
 
+/** Counts prompt and output tokens, which the rate limit charges. */
 export function countTokens(arrival: IArrival): number {
   return arrival.promptTokens + arrival.outputTokens;
 }
 
+/**
+ * Queues admitted requests, dispatches them to the targets that the policy chooses and retries
+ * failed ones. Knows the engines from announcements and answers only.
+ */
 export class Entry {
   public readonly policy: IRoutingPolicy;
   private readonly _context: IEntryContext;
   private readonly _queue = new FairQueue<IOpenRequest>();
-  private readonly _budget = new RetryBudget(0);
+  private readonly _retryBudget = new RetryBudget(0);
   private readonly _targets: ITargetView[];
   private readonly _announcedAt: number[];
-  private readonly _maxWaiting: number;
-  private _waiting = 0;
+  private readonly _maxPendingDispatches: number;
+  private _pendingDispatches = 0;
 
   constructor(policy: IRoutingPolicy, context: IEntryContext) {
     this.policy = policy;
     this._context = context;
     const { engines, deployment } = context;
-    this._targets = engines.map((engine) => this._createView(engine));
+    this._targets = engines.map((engine) => this._createTargetView(engine));
     this._announcedAt = engines.map(() => 0);
-    this._maxWaiting = Math.ceil((engines.length * WAITING_PER_ENGINE) / deployment.entries);
+    this._maxPendingDispatches = Math.ceil(
+      (engines.length * MAX_PENDING_DISPATCHES_PER_ENGINE) / deployment.entries,
+    );
   }
 
-  /** Takes over an announcement that arrives now. */
-  public announce(position: number, report: IEngineReport, now: number): void {
-    const known = this._targets[position];
-    if (known === undefined) {
+  /** Updates the view of a target from an announcement that arrives now. */
+  public applyAnnouncement(engineIndex: number, report: IEngineReport, now: number): void {
+    const current = this._targets[engineIndex];
+    if (current === undefined) {
       return;
     }
     const { queued, running, freeBlocks, waitMs, incarnation } = report;
     const load = { queued, running, freeBlocks, waitMs, reportedAt: now };
-    const target = { ...known, incarnation, healthy: true, load };
-    if (incarnation !== known.incarnation) {
-      this.policy.onTargetGone(known.id);
+    const target = { ...current, incarnation, healthy: true, load };
+    if (incarnation !== current.incarnation) {
+      this.policy.onTargetGone(current.id);
     }
-    this._targets[position] = target;
-    this._announcedAt[position] = now;
-    this.policy.onEvicted(target, report.evicted);
+    this._targets[engineIndex] = target;
+    this._announcedAt[engineIndex] = now;
+    this.policy.onEvicted(target, report.evictedChunks);
     if (this._context.hasUseNotices) {
-      this.policy.onCached(target, report.used, now);
+      this.policy.onCached(target, report.usedHotChunks, now);
     }
   }
 
-  /** A request that was admitted. */
+  /** Queues a request that the rate limit admitted. */
   public submit(arrival: IArrival, now: number): void {
-    this._budget.recordRequest(now);
+    this._retryBudget.recordRequest(now);
     const route: IRouteRequest = {
       requestId: arrival.id,
-      clientAccount: String(arrival.account),
+      clientAccount: String(arrival.accountIndex),
       service: this._context.deployment.service,
       model: this._context.deployment.service,
       chain: arrival.chain,
       promptTokens: arrival.promptTokens,
       priority: arrival.priority,
-      deadlineMs: arrival.at + REQUEST_DEADLINE_MS,
+      deadlineMs: arrival.at + REQUEST_TIMEOUT_MS,
     };
     this._enqueue({ arrival, route, hasFirstToken: false }, now);
   }
@@ -115,7 +123,7 @@
     const queued: IQueuedRequest<IOpenRequest> = {
       requestId: request.route.requestId,
       clientAccount: request.route.clientAccount,
-      weight: this._context.weights[request.arrival.account] ?? 1,
+      weight: this._context.accountWeights[request.arrival.accountIndex] ?? 1,
       cost: countTokens(request.arrival),
       priority: request.route.priority,
       deadlineMs: request.route.deadlineMs,
@@ -124,14 +132,14 @@
     if (this._queue.enqueue(queued, now).kind === 'shed') {
       this._context.measures.recordWrongfulRefusal();
     }
-    this._drain(now);
+    this._dispatchQueued(now);
   }
 
-  private _drain(now: number): void {
+  private _dispatchQueued(now: number): void {
     for (const expired of this._queue.dropExpired(now)) {
-      this._giveUp(expired.payload);
+      this._abortRequest(expired.payload);
     }
-    while (this._waiting < this._maxWaiting) {
+    while (this._pendingDispatches < this._maxPendingDispatches) {
       const next = this._queue.take(now);
       if (next === undefined) {
         return;
@@ -145,9 +153,9 @@
     const startedAt = performance.now();
     const decision = this.policy.choose(request.route, this._targets, now);
     const elapsedMs = performance.now() - startedAt;
-    this._context.measures.recordDecision(elapsedMs * MICROSECONDS_PER_MS);
+    this._context.measures.recordDecisionTime(elapsedMs * US_PER_MS);
     if (decision.kind === 'none') {
-      this._context.events.schedule(now + NO_TARGET_PAUSE_MS, (at) => {
+      this._context.events.schedule(now + NO_TARGET_RETRY_INTERVAL_MS, (at) => {
         this._enqueue(request, at);
       });
       return;
@@ -156,18 +164,18 @@
   }
 
   private _send(request: IOpenRequest, decision: ITargetDecision, now: number): void {
-    const { engines, hopOf, events } = this._context;
+    const { engines, getHopLatencyMs, events } = this._context;
     const engine = engines.find((item) => item.id === decision.target.id);
     if (engine === undefined) {
       throw new Error(`the policy chose ${decision.target.id}, which does not exist`);
     }
     const { requestId, chain, promptTokens, priority } = request.route;
-    const hopMs = hopOf(engine);
+    const hopLatencyMs = getHopLatencyMs(engine);
     let ttftMs = 0;
-    const knowledge = this._context.isTailExplained
+    const fleetSample = this._context.isTailExplained
       ? this._sampleFleet(request, engine, now)
       : undefined;
-    this._waiting += 1;
+    this._pendingDispatches += 1;
     this.policy.onDispatched(request.route, decision.target, now);
     const job = {
       chain,
@@ -175,131 +183,144 @@
       outputTokens: request.arrival.outputTokens,
       priority,
       incarnation: decision.target.incarnation,
-      sender: this._context.number,
+      senderIndex: this._context.entryIndex,
       sentAt: now,
       maxTtftMs: decision.maxTtftMs,
       onBusy: (receipt: IBusyReceipt, at: number) => {
-        events.schedule(at + hopMs, (arrivedAt) => {
-          this._waiting -= 1;
-          this._context.measures.recordBusy();
+        events.schedule(at + hopLatencyMs, (arrivedAt) => {
+          this._pendingDispatches -= 1;
+          this._context.measures.recordBusyRefusal();
           this.policy.onBusy(requestId, receipt, arrivedAt);
           this._dispatch(request, arrivedAt);
         });
       },
       onFirstToken: (at: number) => {
-        events.schedule(at + hopMs, (arrivedAt) => {
+        events.schedule(at + hopLatencyMs, (arrivedAt) => {
           ttftMs = arrivedAt - now;
-          this._acceptFirstToken(request, decision, ttftMs, arrivedAt);
-          if (knowledge !== undefined && request.arrival.at >= this._context.warmupMs) {
+          this._handleFirstToken(request, decision, ttftMs, arrivedAt);
+          if (fleetSample !== undefined && request.arrival.at >= this._context.warmupMs) {
             const sinceArrivalMs = arrivedAt - request.arrival.at;
-            this._context.measures.recordTail({ ...knowledge, ttftMs: sinceArrivalMs });
+            this._context.measures.recordTailSample({ ...fleetSample, ttftMs: sinceArrivalMs });
           }
         });
       },
-      onDone: (cachedPromptTokens: number, at: number) => {
-        const reported = engine.getLoad(at);
-        events.schedule(at + hopMs, (arrivedAt) => {
-          const load = { ...reported, reportedAt: arrivedAt };
+      onCompleted: (cachedPromptTokens: number, at: number) => {
+        const loadAtEnd = engine.getLoad(at);
+        events.schedule(at + hopLatencyMs, (arrivedAt) => {
+          const load = { ...loadAtEnd, reportedAt: arrivedAt };
           const answer = { cachedPromptTokens, ttftMs, load };
           this.policy.onAnswered(requestId, answer, arrivedAt);
           this._finish(request, arrivedAt);
         });
       },
       onFailed: (at: number) => {
-        events.schedule(at + hopMs, (arrivedAt) => {
-          this._recover(request, decision.target.id, arrivedAt);
+        events.schedule(at + hopLatencyMs, (arrivedAt) => {
+          this._handleFailure(request, decision.target.id, arrivedAt);
         });
       },
     };
-    engine.send(job, hopMs, now);
+    engine.send(job, hopLatencyMs, now);
   }
 
-  /** Exact state of the fleet at a dispatch. */
+  /** Records the exact state of the fleet at a dispatch, to explain slow requests. */
   private _sampleFleet(
     request: IOpenRequest,
     chosen: Engine,
     now: number,
   ): Omit<ITailSample, 'ttftMs'> {
     const { chain, promptTokens } = request.route;
-    const { number, engines } = this._context;
-    const { waitMs, unseenMs } = chosen.computeWait(number, now);
+    const { entryIndex, engines } = this._context;
+    const { waitMs, unseenMs } = chosen.computeWait(entryIndex, now);
     const prefillMs = chosen.computeTtft(chain, promptTokens, now) - waitMs;
     const up = engines.filter((engine) => engine.isUp);
-    const bestMs = Math.min(...up.map((engine) => engine.computeTtft(chain, promptTokens, now)));
-    return { heldMs: now - request.arrival.at, waitMs, unseenMs, prefillMs, bestMs };
+    const bestEngineMs = Math.min(
+      ...up.map((engine) => engine.computeTtft(chain, promptTokens, now)),
+    );
+    return {
+      entryWaitMs: now - request.arrival.at,
+      engineWaitMs: waitMs,
+      unseenWaitMs: unseenMs,
+      prefillMs,
+      bestEngineMs,
+    };
   }
 
-  private _acceptFirstToken(
+  private _handleFirstToken(
     request: IOpenRequest,
     decision: ITargetDecision,
     ttftMs: number,
     now: number,
   ): void {
-    this._waiting -= 1;
+    this._pendingDispatches -= 1;
     request.hasFirstToken = true;
     this.policy.onFirstToken(request.route.requestId, now);
     if (request.arrival.at >= this._context.warmupMs) {
       this._context.measures.recordTtft(now - request.arrival.at);
       this._context.measures.recordEstimate(decision.estimatedTtftMs, ttftMs);
     }
-    this._drain(now);
+    this._dispatchQueued(now);
   }
 
   private _finish(request: IOpenRequest, now: number): void {
     if (now <= request.route.deadlineMs) {
-      this._context.measures.recordServed(request.arrival.account, countTokens(request.arrival));
+      this._context.measures.recordServed(
+        request.arrival.accountIndex,
+        countTokens(request.arrival),
+      );
     } else {
-      this._context.measures.recordFailed();
+      this._context.measures.recordFailure();
     }
-    this._drain(now);
+    this._dispatchQueued(now);
   }
 
-  /** Retries a failed dispatch if nothing was relayed yet and the budget allows it. */
-  private _recover(request: IOpenRequest, targetId: string, now: number): void {
+  /** Retries a failed dispatch if no token has arrived yet and the retry budget allows it. */
+  private _handleFailure(request: IOpenRequest, targetId: string, now: number): void {
     this.policy.onFailed(request.route.requestId, now);
     this._markUnhealthy(targetId);
     if (request.hasFirstToken) {
-      this._context.measures.recordFailed();
+      this._context.measures.recordFailure();
       return;
     }
-    this._waiting -= 1;
-    if (this._budget.trySpend(now)) {
+    this._pendingDispatches -= 1;
+    if (this._retryBudget.trySpend(now)) {
       this._context.measures.recordRetry();
-      this._context.events.schedule(now + RETRY_PAUSE_MS, (at) => {
+      this._context.events.schedule(now + RETRY_BACKOFF_MS, (at) => {
         this._enqueue(request, at);
       });
     } else {
-      this._giveUp(request);
+      this._abortRequest(request);
     }
-    this._drain(now);
+    this._dispatchQueued(now);
   }
 
-  private _giveUp(request: IOpenRequest): void {
+  /** Counts a request that expired in the queue or may not be retried as wrongfully refused. */
+  private _abortRequest(request: IOpenRequest): void {
     this._context.measures.recordWrongfulRefusal();
     if (request.hasFirstToken) {
-      throw new Error(`request ${request.route.requestId} was given up after its first token`);
+      throw new Error(`request ${request.route.requestId} was aborted after its first token`);
     }
   }
 
-  /** Until the next announcement. */
+  /** Excludes a target until its next announcement. */
   private _markUnhealthy(targetId: string): void {
     const position = this._targets.findIndex((target) => target.id === targetId);
-    const known = this._targets[position];
-    if (known !== undefined) {
-      this._targets[position] = { ...known, healthy: false };
+    const current = this._targets[position];
+    if (current !== undefined) {
+      this._targets[position] = { ...current, healthy: false };
     }
   }
 
+  /** Marks targets whose announcements are overdue as unhealthy. */
   private _expireTargets(now: number): void {
     for (const [position, target] of this._targets.entries()) {
-      const age = now - (this._announcedAt[position] ?? 0);
-      if (age > ANNOUNCEMENT_LIMIT_MS && target.healthy) {
+      const ageMs = now - (this._announcedAt[position] ?? 0);
+      if (ageMs > ANNOUNCEMENT_TIMEOUT_MS && target.healthy) {
         this._targets[position] = { ...target, healthy: false };
       }
     }
   }
 
-  private _createView(engine: Engine): ITargetView {
+  private _createTargetView(engine: Engine): ITargetView {
     return {
       id: engine.id,
       dataCentre: engine.dataCentre,
--- a/tools/bench/EventQueue.ts
+++ b/tools/bench/EventQueue.ts
@@ -1,4 +1,4 @@
-/** Events of the simulation in the order of their time. */
+/** Event queue of the discrete-event simulation. */
 
 interface ITimedEvent {
   readonly at: number;
@@ -10,29 +10,32 @@
   return left.at < right.at || (left.at === right.at && left.sequence < right.sequence);
 }
 
-/** Binary heap; events of the same time run in the order of their insertion. */
+/**
+ * Runs functions in the order of their simulated time, from a binary heap. Events of the same time
+ * run in the order of their insertion, so that a run can be repeated.
+ */
 export class EventQueue {
   private readonly _heap: ITimedEvent[] = [];
   private _sequence = 0;
 
-  /** Plans a function at a time in milliseconds. */
+  /** Schedules a function at a simulated time in milliseconds. */
   public schedule(at: number, run: (now: number) => void): void {
     const event = { at, sequence: this._sequence++, run };
     let index = this._heap.length;
     this._heap.push(event);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      const above = this._heap[parent];
-      if (above === undefined || isBefore(above, event)) {
+      const parentEvent = this._heap[parent];
+      if (parentEvent === undefined || isBefore(parentEvent, event)) {
         break;
       }
-      this._heap[index] = above;
+      this._heap[index] = parentEvent;
       index = parent;
     }
     this._heap[index] = event;
   }
 
-  /** Runs events until none is left. */
+  /** Runs events, also those that events schedule, until none is left. */
   public runAll(): void {
     for (let event = this._pop(); event !== undefined; event = this._pop()) {
       event.run(event.at);
@@ -48,11 +51,11 @@
     let index = 0;
     for (;;) {
       const child = this._findLesserChild(index);
-      const below = this._heap[child];
-      if (below === undefined || !isBefore(below, last)) {
+      const childEvent = this._heap[child];
+      if (childEvent === undefined || !isBefore(childEvent, last)) {
         break;
       }
-      this._heap[index] = below;
+      this._heap[index] = childEvent;
       index = child;
     }
     this._heap[index] = last;
--- a/tools/bench/Measures.ts
+++ b/tools/bench/Measures.ts
@@ -1,24 +1,30 @@
-/** What is measured during one run. */
+/** Records the measurements of one run and summarises them. */
 import { build, type Histogram } from 'hdr-histogram-js';
-import { ACCOUNT_SHARES } from './Deployments.js';
+import { ACCOUNT_RATE_SHARES } from './Deployments.js';
 import type { ITailSample } from './Tail.js';
 
-/** Histograms hold whole numbers; times are recorded in units of 0.01 ms and 0.1 us. */
-const TTFT_UNITS_PER_MS = 100;
-const DECISION_UNITS_PER_US = 10;
+/** Histograms hold integers, so times are recorded in units of 0.01 ms and 0.1 us. */
+const TTFT_HISTOGRAM_UNITS_PER_MS = 100;
+const DECISION_HISTOGRAM_UNITS_PER_US = 10;
 
-const PERCENT_MEDIAN = 50;
-const PERCENT_TAIL = 99;
+const MEDIAN_PERCENTILE = 50;
+const TAIL_PERCENTILE = 99;
 
-/** Figures of one run of one policy. */
+/** Figures of one run of one policy; the property names are keys of the printed result. */
 export interface IRunFigures {
+  /** Fraction of the prompt tokens that came from a prefix cache. */
   readonly prefixHitRate: number;
+  /** Prompt tokens of chunks that some engine had computed before. */
   readonly wastedRecomputeTokens: number;
   readonly ttftP50Ms: number;
   readonly ttftP99Ms: number;
+  /** Smallest ratio of served to admitted tokens over the client accounts. */
   readonly worstAccountShare: number;
+  /** Requests refused or expired although their client account was within its rate and burst. */
   readonly wrongfulRefusals: number;
+  /** Largest number of tokens admitted beyond rate and burst of a client account. */
   readonly overAdmittedTokens: number;
+  /** Requests refused because the client account exceeded its rate and burst. */
   readonly refusedOverRate: number;
   readonly decisionP50Us: number;
   readonly decisionP99Us: number;
@@ -26,10 +32,11 @@
   readonly answered: number;
   readonly failed: number;
   readonly retries: number;
-  /** Dispatches that busy targets refused unrun. */
+  /** Dispatches that busy targets refused without running them. */
   readonly busyRefusals: number;
+  /** Prefill time of all engines as a fraction of their measured time. */
   readonly utilisation: number;
-  /** Error of the estimates of the policy: median of |estimated - real| in ms. */
+  /** Median of |estimated - actual| time to first token of the policy's decisions. */
   readonly estimateErrorP50Ms: number;
 }
 
@@ -44,11 +51,11 @@
 /** Collects the figures of one run. */
 export class Measures {
   private readonly _ttft = createHistogram();
-  private readonly _decision = createHistogram();
+  private readonly _decisionTime = createHistogram();
   private readonly _estimateError = createHistogram();
-  private readonly _tail: ITailSample[];
-  private readonly _due = ACCOUNT_SHARES.map(() => 0);
-  private readonly _served = ACCOUNT_SHARES.map(() => 0);
+  private readonly _tailSamples: ITailSample[];
+  private readonly _entitledTokens = ACCOUNT_RATE_SHARES.map(() => 0);
+  private readonly _servedTokens = ACCOUNT_RATE_SHARES.map(() => 0);
   private _promptTokens = 0;
   private _cachedTokens = 0;
   private _wastedTokens = 0;
@@ -57,15 +64,15 @@
   private _answered = 0;
   private _failed = 0;
   private _retries = 0;
-  private _busy = 0;
+  private _busyRefusals = 0;
 
-  /** @param tail receives the samples of `recordTail` */
-  constructor(tail: ITailSample[] = []) {
-    this._tail = tail;
+  /** @param tailSamples receives the samples of `recordTailSample` */
+  constructor(tailSamples: ITailSample[] = []) {
+    this._tailSamples = tailSamples;
   }
 
-  public recordTail(sample: ITailSample): void {
-    this._tail.push(sample);
+  public recordTailSample(sample: ITailSample): void {
+    this._tailSamples.push(sample);
   }
 
   public recordPrefill(promptTokens: number, cachedTokens: number, wastedTokens: number): void {
@@ -75,29 +82,29 @@
   }
 
   public recordTtft(ms: number): void {
-    this._ttft.recordValue(Math.max(1, Math.round(ms * TTFT_UNITS_PER_MS)));
+    this._ttft.recordValue(Math.max(1, Math.round(ms * TTFT_HISTOGRAM_UNITS_PER_MS)));
   }
 
-  public recordDecision(us: number): void {
-    this._decision.recordValue(Math.max(1, Math.round(us * DECISION_UNITS_PER_US)));
+  public recordDecisionTime(us: number): void {
+    this._decisionTime.recordValue(Math.max(1, Math.round(us * DECISION_HISTOGRAM_UNITS_PER_US)));
   }
 
-  public recordEstimate(estimatedMs: number, realMs: number): void {
-    const error = Math.abs(estimatedMs - realMs);
-    this._estimateError.recordValue(Math.max(1, Math.round(error * TTFT_UNITS_PER_MS)));
+  public recordEstimate(estimatedMs: number, actualMs: number): void {
+    const error = Math.abs(estimatedMs - actualMs);
+    this._estimateError.recordValue(Math.max(1, Math.round(error * TTFT_HISTOGRAM_UNITS_PER_MS)));
   }
 
-  /** Tokens that the account may use according to its rate and burst. */
-  public recordDue(account: number, tokens: number): void {
-    this._due[account] = (this._due[account] ?? 0) + tokens;
+  /** Records tokens that the rate limit admitted and the client account is entitled to. */
+  public recordEntitledTokens(accountIndex: number, tokens: number): void {
+    this._entitledTokens[accountIndex] = (this._entitledTokens[accountIndex] ?? 0) + tokens;
   }
 
-  public recordServed(account: number, tokens: number): void {
-    this._served[account] = (this._served[account] ?? 0) + tokens;
+  public recordServed(accountIndex: number, tokens: number): void {
+    this._servedTokens[accountIndex] = (this._servedTokens[accountIndex] ?? 0) + tokens;
     this._answered += 1;
   }
 
-  /** A refusal although the account was within its rate and burst. */
+  /** Records a request refused or expired although its account was within its rate and burst. */
   public recordWrongfulRefusal(): void {
     this._wrongfulRefusals += 1;
   }
@@ -106,14 +113,16 @@
     this._refusedOverRate += 1;
   }
 
-  /** A request that was dispatched and got no complete response. */
-  public recordFailed(): void {
+  /**
+   * Records a dispatched request whose response broke off or was complete after its deadline only.
+   */
+  public recordFailure(): void {
     this._failed += 1;
   }
 
-  /** A dispatch that a busy target refused unrun. */
-  public recordBusy(): void {
-    this._busy += 1;
+  /** Records a dispatch that a busy target refused without running it. */
+  public recordBusyRefusal(): void {
+    this._busyRefusals += 1;
   }
 
   public recordRetry(): void {
@@ -121,28 +130,31 @@
   }
 
   public summarise(overAdmittedTokens: number, utilisation: number): IRunFigures {
-    const shares = this._due.map((due, account) =>
-      due === 0 ? 1 : (this._served[account] ?? 0) / due,
+    const servedShares = this._entitledTokens.map((entitled, accountIndex) =>
+      entitled === 0 ? 1 : (this._servedTokens[accountIndex] ?? 0) / entitled,
     );
     return {
       prefixHitRate: this._cachedTokens / Math.max(1, this._promptTokens),
       wastedRecomputeTokens: this._wastedTokens,
-      ttftP50Ms: this._ttft.getValueAtPercentile(PERCENT_MEDIAN) / TTFT_UNITS_PER_MS,
-      ttftP99Ms: this._ttft.getValueAtPercentile(PERCENT_TAIL) / TTFT_UNITS_PER_MS,
-      worstAccountShare: Math.min(...shares),
+      ttftP50Ms: this._ttft.getValueAtPercentile(MEDIAN_PERCENTILE) / TTFT_HISTOGRAM_UNITS_PER_MS,
+      ttftP99Ms: this._ttft.getValueAtPercentile(TAIL_PERCENTILE) / TTFT_HISTOGRAM_UNITS_PER_MS,
+      worstAccountShare: Math.min(...servedShares),
       wrongfulRefusals: this._wrongfulRefusals,
       overAdmittedTokens,
       refusedOverRate: this._refusedOverRate,
-      decisionP50Us: this._decision.getValueAtPercentile(PERCENT_MEDIAN) / DECISION_UNITS_PER_US,
-      decisionP99Us: this._decision.getValueAtPercentile(PERCENT_TAIL) / DECISION_UNITS_PER_US,
-      decisions: this._decision.totalCount,
+      decisionP50Us:
+        this._decisionTime.getValueAtPercentile(MEDIAN_PERCENTILE) /
+        DECISION_HISTOGRAM_UNITS_PER_US,
+      decisionP99Us:
+        this._decisionTime.getValueAtPercentile(TAIL_PERCENTILE) / DECISION_HISTOGRAM_UNITS_PER_US,
+      decisions: this._decisionTime.totalCount,
       answered: this._answered,
       failed: this._failed,
       retries: this._retries,
-      busyRefusals: this._busy,
+      busyRefusals: this._busyRefusals,
       utilisation,
       estimateErrorP50Ms:
-        this._estimateError.getValueAtPercentile(PERCENT_MEDIAN) / TTFT_UNITS_PER_MS,
+        this._estimateError.getValueAtPercentile(MEDIAN_PERCENTILE) / TTFT_HISTOGRAM_UNITS_PER_MS,
     };
   }
 }
--- a/tools/bench/Oracle.ts
+++ b/tools/bench/Oracle.ts
@@ -1,21 +1,21 @@
-/** Routing with exact knowledge, the bound that the policies are compared with. */
+/** Routing with exact knowledge of the engines, as a bound to compare the policies with. */
 import { BasePolicy, explainNone } from '../../src/policy/BasePolicy.js';
 import type { IRouteDecision, IRouteRequest, ITargetView } from '../../src/policy/Types.js';
 import type { Engine } from './Engine.js';
 
-/** Hop between an entry and an engine in milliseconds, one way. */
-export type IHopOf = (engine: Engine) => number;
+/** Returns the one-way network latency between an entry and an engine. */
+export type GetHopLatencyMs = (engine: Engine) => number;
 
 /**
- * Knows each cache and each queue at the instant of the decision and takes the engine with the
- * smallest exact time to first token.
+ * Reads each cache and queue at the instant of the decision, which no real entry can, and chooses
+ * the engine with the smallest exact time to first token.
  */
 export class Oracle extends BasePolicy {
   public readonly name = 'oracle';
 
   constructor(
     private readonly _engines: readonly Engine[],
-    private readonly _hopOf: IHopOf,
+    private readonly _getHopLatencyMs: GetHopLatencyMs,
   ) {
     super();
   }
@@ -32,7 +32,8 @@
         continue;
       }
       const ttftMs =
-        engine.computeTtft(request.chain, request.promptTokens, now) + 2 * this._hopOf(engine);
+        engine.computeTtft(request.chain, request.promptTokens, now) +
+        2 * this._getHopLatencyMs(engine);
       if (ttftMs < bestMs) {
         best = engine;
         bestMs = ttftMs;
@@ -42,7 +43,7 @@
     if (view === undefined || best === undefined) {
       return explainNone(targets);
     }
-    // The view of the entry may show a past incarnation.
+    // The entry may not have received the announcement of the current incarnation yet.
     return this.decide({ ...view, incarnation: best.incarnation }, 'least-load');
   }
 }
--- a/tools/bench/Policies.ts
+++ b/tools/bench/Policies.ts
@@ -1,9 +1,9 @@
-/** Policies that the bench can run. */
+/** Routing policies that the bench compares. */
 import { createPolicy, type PolicyName } from '../../src/policy/CreatePolicy.js';
 import { RoundRobin } from '../../src/policy/RoundRobin.js';
 import type { IRandom, IRoutingPolicy } from '../../src/policy/Types.js';
 
-/** Names of the policies, without the oracle. */
+/** Names of the product's policies; the oracle exists in the bench only. */
 export const POLICY_NAMES: readonly PolicyName[] = [
   'round-robin',
   'least-load',
@@ -11,7 +11,10 @@
   'default',
 ];
 
-/** Creates the policy of one entry as the product does; rotations begin at different targets. */
+/**
+ * Creates the policy of one entry as the product does, except that the round-robin policy of each
+ * entry begins at a different target.
+ */
 export function createEntryPolicy(
   name: PolicyName,
   entry: number,
--- a/tools/bench/Random.ts
+++ b/tools/bench/Random.ts
@@ -1,7 +1,7 @@
-/** Seeded random numbers. */
+/** Seeded random numbers and samples of distributions. */
 import type { IRandom } from '../../src/policy/Types.js';
 
-/** Mulberry32 generator; distinct streams come from distinct labels. */
+/** Creates a Mulberry32 generator. Different labels give independent streams for the same seed. */
 export function createRandom(seed: number, label: string): IRandom {
   let state = seed >>> 0;
   for (const char of label) {
@@ -15,22 +15,22 @@
   };
 }
 
-/** Exponentially distributed time with the given mean. */
+/** Draws an exponentially distributed value with the given mean. */
 export function sampleExponential(random: IRandom, mean: number): number {
   return -Math.log(1 - random()) * mean;
 }
 
-/** Whole number between both bounds, inclusive. */
+/** Draws an integer between both bounds, inclusive. */
 export function sampleInteger(random: IRandom, low: number, high: number): number {
   return low + Math.floor(random() * (high - low + 1));
 }
 
-/** Index drawn with the given weights. */
-export function sampleIndex(random: IRandom, weights: readonly number[]): number {
-  let left = random() * weights.reduce((sum, weight) => sum + weight, 0);
+/** Draws an index with a probability proportional to its weight. */
+export function sampleWeightedIndex(random: IRandom, weights: readonly number[]): number {
+  let remaining = random() * weights.reduce((sum, weight) => sum + weight, 0);
   for (const [index, weight] of weights.entries()) {
-    left -= weight;
-    if (left < 0) {
+    remaining -= weight;
+    if (remaining < 0) {
       return index;
     }
   }
--- a/tools/bench/Report.ts
+++ b/tools/bench/Report.ts
@@ -1,7 +1,7 @@
-/** Medians, spreads and tables of the figures. */
+/** Summarises the figures of several runs as tables, JSON and checks. */
 import type { IRunFigures } from './Measures.js';
 
-/** Median of the values; the mean of the middle two when their number is even. */
+/** Returns the median; for an even number of values, the mean of the middle two. */
 export function computeMedian(values: readonly number[]): number {
   const sorted = [...values].sort((a, b) => a - b);
   const middle = sorted.length >> 1;
@@ -9,7 +9,7 @@
   return sorted.length % 2 === 1 ? upper : ((sorted[middle - 1] ?? 0) + upper) / 2;
 }
 
-/** Takes the median of each figure over the runs. */
+/** Returns the median of each figure over the runs. */
 export function summariseRuns(runs: readonly IRunFigures[]): IRunFigures {
   const first = runs[0];
   if (first === undefined) {
@@ -24,7 +24,7 @@
   return Number(value.toPrecision(6));
 }
 
-/** Medians of the policy and of the oracle as one JSON object. */
+/** Formats the medians of the policy and selected medians of the oracle as one JSON object. */
 export function formatResult(
   context: Readonly<Record<string, unknown>>,
   policy: IRunFigures,
@@ -48,20 +48,20 @@
   readonly format: (value: number) => string;
 }
 
-const percent = (value: number): string => `${(value * 100).toFixed(1)}%`;
-const thousands = (value: number): string => `${Math.round(value / 1_000)}k`;
-const whole = (value: number): string => value.toFixed(0);
+const formatPercent = (value: number): string => `${(value * 100).toFixed(1)}%`;
+const formatThousands = (value: number): string => `${Math.round(value / 1_000)}k`;
+const formatInteger = (value: number): string => value.toFixed(0);
 
 const COLUMNS: readonly IColumn[] = [
-  { title: 'hit rate', key: 'prefixHitRate', format: percent },
-  { title: 'wasted tokens', key: 'wastedRecomputeTokens', format: thousands },
-  { title: 'ttft p50 ms', key: 'ttftP50Ms', format: whole },
-  { title: 'ttft p99 ms', key: 'ttftP99Ms', format: whole },
+  { title: 'hit rate', key: 'prefixHitRate', format: formatPercent },
+  { title: 'wasted tokens', key: 'wastedRecomputeTokens', format: formatThousands },
+  { title: 'ttft p50 ms', key: 'ttftP50Ms', format: formatInteger },
+  { title: 'ttft p99 ms', key: 'ttftP99Ms', format: formatInteger },
   { title: 'worst account', key: 'worstAccountShare', format: (value) => value.toFixed(3) },
-  { title: 'wrongful', key: 'wrongfulRefusals', format: whole },
-  { title: 'over-admitted', key: 'overAdmittedTokens', format: whole },
-  { title: 'utilisation', key: 'utilisation', format: percent },
-  { title: 'decision p99 us', key: 'decisionP99Us', format: whole },
+  { title: 'wrongful', key: 'wrongfulRefusals', format: formatInteger },
+  { title: 'over-admitted', key: 'overAdmittedTokens', format: formatInteger },
+  { title: 'utilisation', key: 'utilisation', format: formatPercent },
+  { title: 'decision p99 us', key: 'decisionP99Us', format: formatInteger },
 ];
 
 function formatCell(column: IColumn, runs: readonly IRunFigures[]): string {
@@ -70,7 +70,10 @@
   return `${column.format(computeMedian(values))} (${spread})`;
 }
 
-/** Table in Markdown: median and, in brackets, the smallest and largest value over the seeds. */
+/**
+ * Formats a Markdown table: the median and, in brackets, the smallest and largest value over the
+ * seeds.
+ */
 export function formatTable(rows: ReadonlyMap<string, readonly IRunFigures[]>): string {
   const lines = [
     `| policy | ${COLUMNS.map((column) => column.title).join(' | ')} |`,
@@ -82,48 +85,62 @@
   return lines.join('\n');
 }
 
-/** One target of the policy with its figure. */
-export interface ITargetCheck {
+/** One objective of the default policy with its measured value. */
+export interface IObjectiveCheck {
   readonly name: string;
   readonly value: number;
   readonly limit: number;
   readonly isMet: boolean;
 }
 
-function checkAtLeast(name: string, value: number, limit: number): ITargetCheck {
+function checkAtLeast(name: string, value: number, limit: number): IObjectiveCheck {
   return { name, value, limit, isMet: value >= limit };
 }
 
-function checkAtMost(name: string, value: number, limit: number): ITargetCheck {
+function checkAtMost(name: string, value: number, limit: number): IObjectiveCheck {
   return { name, value, limit, isMet: value <= limit };
 }
 
-/** Compares the medians of `default` with its targets. */
-export function checkTargets(
+/** Compares the medians of the default policy with its objectives. */
+export function checkObjectives(
   rows: ReadonlyMap<string, readonly IRunFigures[]>,
   hasFaults: boolean,
-): ITargetCheck[] {
-  const get = (name: string): IRunFigures => summariseRuns(rows.get(name) ?? []);
-  const own = get('default');
-  const oracle = get('oracle');
-  const baselines = ['round-robin', 'least-load', 'prefix-hash'].map((name) => get(name).ttftP99Ms);
-  const wasted = own.wastedRecomputeTokens;
+): IObjectiveCheck[] {
+  const getMedians = (name: string): IRunFigures => summariseRuns(rows.get(name) ?? []);
+  const policyMedians = getMedians('default');
+  const oracleMedians = getMedians('oracle');
+  const baselineTtftP99s = ['round-robin', 'least-load', 'prefix-hash'].map(
+    (name) => getMedians(name).ttftP99Ms,
+  );
+  const wastedTokens = policyMedians.wastedRecomputeTokens;
   const checks = [
-    checkAtLeast('hit rate / oracle', own.prefixHitRate / oracle.prefixHitRate, 0.95),
-    checkAtMost('wasted / oracle', wasted / oracle.wastedRecomputeTokens, 1.15),
-    checkAtMost('wasted / least-load', wasted / get('least-load').wastedRecomputeTokens, 0.5),
-    checkAtMost('ttft p99 / oracle', own.ttftP99Ms / oracle.ttftP99Ms, 1.25),
-    checkAtMost('ttft p99 / best baseline', own.ttftP99Ms / Math.min(...baselines), 1),
-    checkAtLeast('worst account share', own.worstAccountShare, 0.95),
-    checkAtMost('over-admitted tokens', own.overAdmittedTokens, 0),
-    checkAtMost('decision p99 us', own.decisionP99Us, 200),
+    checkAtLeast(
+      'hit rate / oracle',
+      policyMedians.prefixHitRate / oracleMedians.prefixHitRate,
+      0.95,
+    ),
+    checkAtMost('wasted / oracle', wastedTokens / oracleMedians.wastedRecomputeTokens, 1.15),
+    checkAtMost(
+      'wasted / least-load',
+      wastedTokens / getMedians('least-load').wastedRecomputeTokens,
+      0.5,
+    ),
+    checkAtMost('ttft p99 / oracle', policyMedians.ttftP99Ms / oracleMedians.ttftP99Ms, 1.25),
+    checkAtMost(
+      'ttft p99 / best baseline',
+      policyMedians.ttftP99Ms / Math.min(...baselineTtftP99s),
+      1,
+    ),
+    checkAtLeast('worst account share', policyMedians.worstAccountShare, 0.95),
+    checkAtMost('over-admitted tokens', policyMedians.overAdmittedTokens, 0),
+    checkAtMost('decision p99 us', policyMedians.decisionP99Us, 200),
   ];
   return hasFaults
     ? checks
-    : [...checks, checkAtMost('wrongful refusals', own.wrongfulRefusals, 0)];
+    : [...checks, checkAtMost('wrongful refusals', policyMedians.wrongfulRefusals, 0)];
 }
 
-export function formatChecks(checks: readonly ITargetCheck[]): string {
+export function formatObjectiveChecks(checks: readonly IObjectiveCheck[]): string {
   return checks
     .map(({ name, value, limit, isMet }) => {
       const result = isMet ? 'met' : 'MISSED';
--- a/tools/bench/Simulation.test.ts
+++ b/tools/bench/Simulation.test.ts
@@ -6,7 +6,7 @@
 function createOptions(changes: Partial<IRunOptions> = {}): IRunOptions {
   const deployment = DEPLOYMENTS.franchise;
   if (deployment === undefined) {
-    throw new Error('the deployment franchise is not defined');
+    throw new Error("the deployment 'franchise' is missing in DEPLOYMENTS");
   }
   return {
     deployment,
@@ -19,19 +19,23 @@
   };
 }
 
-/** Figures without the measured times, which differ from run to run. */
-function runWithoutTimes(options: IRunOptions): Record<string, unknown> {
+/** Runs without the decision times, which are real times and differ from run to run. */
+function runWithoutDecisionTimes(options: IRunOptions): Record<string, unknown> {
   return { ...runOnce(options), decisionP50Us: 0, decisionP99Us: 0 };
 }
 
 describe('runOnce', () => {
-  it('gives the same figures for the same seed, so that policies see equal arrivals', () => {
+  // Policies can be compared only if all of them get the same arrivals.
+  it('returns equal figures for equal seeds and other figures for another seed', () => {
     const options = createOptions({ hasFaults: true });
-    expect(runWithoutTimes(options)).toEqual(runWithoutTimes(options));
-    expect(runWithoutTimes({ ...options, seed: 8 })).not.toEqual(runWithoutTimes(options));
+    expect(runWithoutDecisionTimes(options)).toEqual(runWithoutDecisionTimes(options));
+    expect(runWithoutDecisionTimes({ ...options, seed: 8 })).not.toEqual(
+      runWithoutDecisionTimes(options),
+    );
   });
 
-  it('answers each admitted request once, also when engines crash', () => {
+  // Guards against requests that get lost in a crash or are counted again after a retry.
+  it('counts each arrival once as answered, failed or refused, also when engines crash', () => {
     for (const hasFaults of [false, true]) {
       const figures = runOnce(createOptions({ hasFaults }));
       const ended = figures.answered + figures.failed + figures.wrongfulRefusals;
@@ -42,11 +46,12 @@
     }
   });
 
-  it('bounds the hit rate by the oracle under light load, so that the oracle is no baseline', () => {
+  // An oracle that a policy surpasses would be one more baseline in place of a bound.
+  it('gives the oracle a higher hit rate than the default policy under light load', () => {
     const deployment: IDeployment = { ...createOptions().deployment, requestsPerSecond: 6 };
-    const own = runOnce(createOptions({ deployment }));
-    const oracle = runOnce(createOptions({ deployment, policy: 'oracle' }));
-    expect(oracle.prefixHitRate).toBeGreaterThan(own.prefixHitRate);
+    const policyFigures = runOnce(createOptions({ deployment }));
+    const oracleFigures = runOnce(createOptions({ deployment, policy: 'oracle' }));
+    expect(oracleFigures.prefixHitRate).toBeGreaterThan(policyFigures.prefixHitRate);
   });
 });
 
@@ -56,8 +61,8 @@
     const owners = new Map<string, number>();
     for (const arrival of arrivals) {
       for (const hash of arrival.chain) {
-        expect(owners.get(hash) ?? arrival.account).toBe(arrival.account);
-        owners.set(hash, arrival.account);
+        expect(owners.get(hash) ?? arrival.accountIndex).toBe(arrival.accountIndex);
+        owners.set(hash, arrival.accountIndex);
       }
     }
   });
--- a/tools/bench/Tail.ts
+++ b/tools/bench/Tail.ts
@@ -1,28 +1,29 @@
-/** What the slowest requests of a run waited for. */
-import { REPORT_LAG_MS } from './Engine.js';
+/** Explains what the slowest requests of a run waited for. */
+import { MEAN_REPORT_AGE_MS } from './Engine.js';
 
-/** Part of the requests that counts as slowest. */
-const TAIL_SHARE = 0.01;
+/** Fraction of the requests that counts as the tail. */
+const TAIL_FRACTION = 0.01;
 
-/** A part of the time above this share of the whole counts as the cause. */
-const CAUSE_SHARE = 0.5;
+/** A component above this fraction of the total time counts as the main cause. */
+const MAIN_CAUSE_FRACTION = 0.5;
 
-/** One request at its last dispatch; exact times, which no entry knows. */
+/** Exact times of one request at its last dispatch, which no entry can know. */
 export interface ITailSample {
-  /** From the arrival to the first token. */
+  /** Time from the arrival to the first token. */
   readonly ttftMs: number;
-  /** From the arrival to the last dispatch. */
-  readonly heldMs: number;
-  /** Queue at the chosen engine. */
-  readonly waitMs: number;
-  /** The part of the queue that other entries sent within the lag of the reports. */
-  readonly unseenMs: number;
-  /** Own prefill at the chosen engine. */
+  /** Time from the arrival to the last dispatch. */
+  readonly entryWaitMs: number;
+  /** Wait in the queue of the chosen engine. */
+  readonly engineWaitMs: number;
+  /** Part of that wait for jobs that other entries sent too recently to be in a load report. */
+  readonly unseenWaitMs: number;
+  /** Prefill time at the chosen engine. */
   readonly prefillMs: number;
-  /** Queue and prefill at the engine with the smallest sum. */
-  readonly bestMs: number;
+  /** Wait and prefill time at the engine where their sum is smallest. */
+  readonly bestEngineMs: number;
 }
 
+/** Main cause of a slow request, as printed. */
 export type TailCause =
   | 'held at the entry'
   | 'unseen queue'
@@ -32,27 +33,27 @@
   | 'overtaken';
 
 function findCause(sample: ITailSample): TailCause {
-  const { ttftMs, heldMs, waitMs, unseenMs, prefillMs, bestMs } = sample;
-  const limit = ttftMs * CAUSE_SHARE;
-  if (heldMs > limit) {
+  const { ttftMs, entryWaitMs, engineWaitMs, unseenWaitMs, prefillMs, bestEngineMs } = sample;
+  const thresholdMs = ttftMs * MAIN_CAUSE_FRACTION;
+  if (entryWaitMs > thresholdMs) {
     return 'held at the entry';
   }
-  if (ttftMs - heldMs - waitMs - prefillMs > limit) {
+  if (ttftMs - entryWaitMs - engineWaitMs - prefillMs > thresholdMs) {
     return 'overtaken';
   }
-  if (bestMs > (waitMs + prefillMs) * (1 - CAUSE_SHARE / 2)) {
+  if (bestEngineMs > (engineWaitMs + prefillMs) * (1 - MAIN_CAUSE_FRACTION / 2)) {
     return 'no faster engine';
   }
-  if (prefillMs > waitMs) {
+  if (prefillMs > engineWaitMs) {
     return 'recomputation';
   }
-  return unseenMs > waitMs * CAUSE_SHARE ? 'unseen queue' : 'known queue';
+  return unseenWaitMs > engineWaitMs * MAIN_CAUSE_FRACTION ? 'unseen queue' : 'known queue';
 }
 
-/** Shares of the causes among the slowest requests of all runs. */
+/** Formats the percentages of the causes among the slowest requests of all samples. */
 export function explainTail(samples: readonly ITailSample[]): string {
   const sorted = [...samples].sort((a, b) => b.ttftMs - a.ttftMs);
-  const tail = sorted.slice(0, Math.ceil(sorted.length * TAIL_SHARE));
+  const tail = sorted.slice(0, Math.ceil(sorted.length * TAIL_FRACTION));
   const counts = new Map<TailCause, number>();
   for (const sample of tail) {
     const cause = findCause(sample);
@@ -61,5 +62,5 @@
   const shares = [...counts]
     .sort((a, b) => b[1] - a[1])
     .map(([cause, count]) => `${cause} ${Math.round((100 * count) / tail.length)}%`);
-  return `slowest ${tail.length} of ${samples.length} (report lag ${REPORT_LAG_MS} ms): ${shares.join(', ')}`;
+  return `slowest ${tail.length} of ${samples.length} (report lag ${MEAN_REPORT_AGE_MS} ms): ${shares.join(', ')}`;
 }
