--- a/tools/slopes.ts
+++ b/tools/slopes.ts
@@ -1,4 +1,7 @@
-/** Measures how cost and state grow with size; docs/CAPACITY.md is worked out from the result. */
+/**
+ * Measures how processor time, memory and message sizes grow with the number of targets, client
+ * accounts and other records. docs/CAPACITY.md is derived from the result.
+ */
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { measureDecisionTimes } from './bench/DecisionTimes.js';
@@ -8,6 +11,7 @@
 import { measureRpc, SERVE_ARGUMENT, serveCalls } from './slopes/RpcSlopes.js';
 import { measureState } from './slopes/StateSlopes.js';
 
+/** Rounds to fewer digits the larger the value is. */
 function formatNumber(value: number): string {
   const digits = Math.abs(value) >= 100 ? 0 : Math.abs(value) >= 1 ? 1 : 4;
   return String(Number(value.toFixed(digits)));
@@ -22,6 +26,7 @@
   process.stdout.write(`${slope.name} [${slope.unit}]: ${points.join(', ')}${growth}\n`);
 }
 
+/** Converts the decision times of the bench into slopes. */
 function measureDecisions(): ISlope[] {
   const times = measureDecisionTimes();
   const collect = (pick: (time: (typeof times)[number]) => number): ISlope['points'] =>
--- a/tools/slopes/FeedSlopes.ts
+++ b/tools/slopes/FeedSlopes.ts
@@ -1,4 +1,6 @@
-/** Configuration feed: memory of a copy, cost of a poll and of a change, bytes on the wire. */
+/**
+ * Measures the configuration feed: memory of a copy, time of a poll and a change, message sizes.
+ */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { FeedCopy } from '../../src/feed/FeedCopy.js';
 import {
@@ -11,10 +13,10 @@
 
 const ITEM_COUNTS = [1_000, 10_000, 40_000] as const;
 
-/** About the size of a client account with its services, or of a key. */
+/** About the encoded size of a client account with its services, or of a key. */
 const VALUE_BYTES = 120;
-const POLLS = 2_000;
-const CHANGES = 500;
+const POLLS_PER_STEP = 2_000;
+const CHANGES_PER_STEP = 500;
 
 function createItem(index: number, revision: number): Item {
   return create(ItemSchema, {
@@ -24,7 +26,7 @@
   });
 }
 
-function createFullCopy(count: number): SyncResponse {
+function createFullResponse(count: number): SyncResponse {
   return create(SyncResponseSchema, {
     clusterId: new Uint8Array(16),
     revision: BigInt(count),
@@ -36,32 +38,35 @@
 }
 
 function createFilledCopy(count: number): FeedCopy {
-  const encoded = toBinary(SyncResponseSchema, createFullCopy(count));
+  const encoded = toBinary(SyncResponseSchema, createFullResponse(count));
   const copy = new FeedCopy();
   copy.applyResponse(fromBinary(SyncResponseSchema, encoded), 0);
   return copy;
 }
 
-/** Serves polls that find nothing new. */
+/** Measures serving a poll that finds no changes, with decoding and encoding, in microseconds. */
 function measurePoll(count: number): number {
   const copy = createFilledCopy(count);
   const request = toBinary(
     SyncRequestSchema,
     create(SyncRequestSchema, { haveRevision: BigInt(count), instance: 'entry-1' }),
   );
-  return measureUs(POLLS, () => {
-    for (let poll = 0; poll < POLLS; poll++) {
-      toBinary(SyncResponseSchema, copy.sync(fromBinary(SyncRequestSchema, request), poll));
+  return measureUs(POLLS_PER_STEP, () => {
+    for (let now = 0; now < POLLS_PER_STEP; now++) {
+      toBinary(SyncResponseSchema, copy.sync(fromBinary(SyncRequestSchema, request), now));
     }
   });
 }
 
-/** Applies changes of one item, as each copy does for each change of configuration. */
+/**
+ * Measures decoding and applying a change of one item, in microseconds. Each copy does this for
+ * each change of the configuration.
+ */
 function measureChange(count: number): number {
   const copy = createFilledCopy(count);
   let revision = count;
-  return measureUs(CHANGES, () => {
-    for (let change = 0; change < CHANGES; change++) {
+  return measureUs(CHANGES_PER_STEP, () => {
+    for (let change = 0; change < CHANGES_PER_STEP; change++) {
       revision += 1;
       const response = create(SyncResponseSchema, {
         clusterId: new Uint8Array(16),
@@ -76,7 +81,7 @@
   });
 }
 
-/** Serves one full copy, as each restarted process needs it. */
+/** Measures serving a full copy, which each restarted process requests, in microseconds. */
 function measureFullCopy(count: number): number {
   const copy = createFilledCopy(count);
   const request = create(SyncRequestSchema, { instance: 'entry-1' });
@@ -85,14 +90,15 @@
   });
 }
 
-/** Takes one full copy over. */
+/** Measures decoding and applying a full copy, in microseconds. */
 function measureFullApply(count: number): number {
-  const encoded = toBinary(SyncResponseSchema, createFullCopy(count));
+  const encoded = toBinary(SyncResponseSchema, createFullResponse(count));
   return measureUs(1, () => {
     new FeedCopy().applyResponse(fromBinary(SyncResponseSchema, encoded), 0);
   });
 }
 
+/** Measures the configuration feed by number of items. */
 export function measureFeed(): ISlope[] {
   return [
     {
@@ -110,7 +116,7 @@
       per: 'item',
       points: ITEM_COUNTS.map((size) => ({
         size,
-        value: toBinary(SyncResponseSchema, createFullCopy(size)).length / 1_024,
+        value: toBinary(SyncResponseSchema, createFullResponse(size)).length / 1_024,
       })),
     },
     {
--- a/tools/slopes/Measure.ts
+++ b/tools/slopes/Measure.ts
@@ -1,17 +1,18 @@
-/** Shared parts of the slope measurements. */
+/** Measures time and memory of a step, and fits a line to measurements at several sizes. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 
-/** One measured quantity at several sizes. */
+/** One quantity, measured at several sizes. */
 export interface ISlope {
   readonly name: string;
   readonly unit: string;
-  /** What the size counts. */
+  /** What the size counts, such as targets. */
   readonly per: string;
-  readonly points: readonly IPoint[];
+  readonly points: readonly ISlopePoint[];
 }
 
-export interface IPoint {
+/** Measured value at one size. */
+export interface ISlopePoint {
   readonly size: number;
   readonly value: number;
 }
@@ -19,51 +20,58 @@
 const BYTES_PER_KILOBYTE = 1_024;
 const US_PER_MS = 1_000;
 
-/** Repetitions of a timed step; the median is taken because the machine is shared. */
-const REPETITIONS = 5;
+/** Repetitions of a timed step. The median is used, because other processes share the machine. */
+const TIME_REPETITIONS = 5;
 
 const MEMORY_REPETITIONS = 3;
 
 setFlagsFromString('--expose_gc');
-const collect = runInNewContext('gc') as () => void;
+const collectGarbage = runInNewContext('gc') as () => void;
 
-/** Median time of one step in microseconds; `step` does `count` units of work. */
-export function measureUs(count: number, step: () => void): number {
-  const times = Array.from({ length: REPETITIONS }, () => {
+/**
+ * Returns the median time in microseconds for one of the `unitsPerStep` units of work of `step`.
+ */
+export function measureUs(unitsPerStep: number, step: () => void): number {
+  const times = Array.from({ length: TIME_REPETITIONS }, () => {
     const startedAt = performance.now();
     step();
-    return ((performance.now() - startedAt) * US_PER_MS) / count;
+    return ((performance.now() - startedAt) * US_PER_MS) / unitsPerStep;
   });
   return computeMedian(times);
 }
 
 /**
- * Live heap and buffers that `create` adds, in kilobytes. The first result is dropped, because it also
- * counts compiled code and what earlier measurements leave to collect.
+ * Returns the median memory, heap and buffers, that the result of `create` retains, in kilobytes.
+ * The first sample is dropped, because it also contains compiled code and garbage of earlier
+ * measurements.
  */
 export function measureKilobytes(create: () => unknown): number {
-  const samples = Array.from({ length: MEMORY_REPETITIONS + 1 }, () => measureOnce(create));
+  const samples = Array.from({ length: MEMORY_REPETITIONS + 1 }, () =>
+    measureRetainedKilobytes(create),
+  );
   return computeMedian(samples.slice(1));
 }
 
-function measureOnce(create: () => unknown): number {
-  collect();
-  collect();
+function measureRetainedKilobytes(create: () => unknown): number {
+  collectGarbage();
+  collectGarbage();
   const before = sumMemory();
-  const kept = create();
-  collect();
-  collect();
+  const retained = create();
+  collectGarbage();
+  collectGarbage();
   const after = sumMemory();
-  return kept === undefined ? 0 : (after - before) / BYTES_PER_KILOBYTE;
+  // This use also keeps the result reachable during the collection above.
+  return retained === undefined ? 0 : (after - before) / BYTES_PER_KILOBYTE;
 }
 
+/** Returns the median; for an even number of values, the upper one of the middle two. */
 export function computeMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-/** Cost of one more unit of size, by least squares over the points. */
-export function computeSlope(points: readonly IPoint[]): number {
+/** Returns the slope of the least-squares line: the value that one more unit of size adds. */
+export function computeSlope(points: readonly ISlopePoint[]): number {
   const sizeMean = computeMean(points.map(({ size }) => size));
   const valueMean = computeMean(points.map(({ value }) => value));
   let covariance = 0;
--- a/tools/slopes/RosterSlopes.ts
+++ b/tools/slopes/RosterSlopes.ts
@@ -1,4 +1,4 @@
-/** Target roster of an entry and cache index of a sidecar. */
+/** Measures the target roster of an entry and the cache index of a sidecar. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
   AnnounceRequestSchema,
@@ -11,7 +11,7 @@
 
 const TARGET_COUNTS = [100, 1_000, 5_600] as const;
 const CHUNK_COUNTS = [10_000, 40_000, 160_000] as const;
-const EVENTS = 100_000;
+const EVENTS_PER_STEP = 100_000;
 
 function createAnnouncement(index: number, sequence: number): AnnounceRequest {
   return create(AnnounceRequestSchema, {
@@ -39,6 +39,7 @@
   return roster;
 }
 
+/** Measures an announcement of a known target, with encoding and decoding, in microseconds. */
 function measureAnnouncement(count: number): number {
   const roster = createRoster(count);
   let sequence = 1;
@@ -51,7 +52,7 @@
   });
 }
 
-function createIndex(chunks: number): CacheIndex {
+function createCacheIndex(chunks: number): CacheIndex {
   const index = new CacheIndex();
   index.apply(
     Array.from({ length: chunks }, (_, seq) => ({
@@ -63,11 +64,14 @@
   return index;
 }
 
-function measureEvents(chunks: number): number {
-  const index = createIndex(chunks);
+/**
+ * Measures applying a cache event of an engine to an index of that many chunks, in microseconds.
+ */
+function measureCacheEvents(chunks: number): number {
+  const index = createCacheIndex(chunks);
   let seq = chunks;
-  return measureUs(EVENTS, () => {
-    const events = Array.from({ length: EVENTS }, (_, offset) => {
+  return measureUs(EVENTS_PER_STEP, () => {
+    const events = Array.from({ length: EVENTS_PER_STEP }, (_, offset) => {
       seq += 1;
       const isStored = offset % 2 === 0;
       return {
@@ -80,8 +84,12 @@
   });
 }
 
+/** Measures the roster by number of targets and the cache index by number of chunks. */
 export function measureRoster(): ISlope[] {
-  const size = toBinary(AnnounceRequestSchema, createAnnouncement(4_711, 1_000)).length;
+  const announcementBytes = toBinary(
+    AnnounceRequestSchema,
+    createAnnouncement(4_711, 1_000),
+  ).length;
   return [
     {
       name: 'roster memory at an entry',
@@ -102,7 +110,7 @@
       name: 'announcement message',
       unit: 'bytes',
       per: 'announcement',
-      points: [{ size: 1, value: size }],
+      points: [{ size: 1, value: announcementBytes }],
     },
     {
       name: 'cache index memory at a sidecar',
@@ -110,14 +118,14 @@
       per: 'chunk',
       points: CHUNK_COUNTS.map((count) => ({
         size: count,
-        value: measureKilobytes(() => createIndex(count)),
+        value: measureKilobytes(() => createCacheIndex(count)),
       })),
     },
     {
       name: 'cache event at a sidecar',
       unit: 'us',
       per: 'chunk',
-      points: CHUNK_COUNTS.map((count) => ({ size: count, value: measureEvents(count) })),
+      points: CHUNK_COUNTS.map((count) => ({ size: count, value: measureCacheEvents(count) })),
     },
   ];
 }
--- a/tools/slopes/RpcSlopes.ts
+++ b/tools/slopes/RpcSlopes.ts
@@ -1,4 +1,6 @@
-/** Cost of one call between processes: server and client processor time, and bytes on the wire. */
+/**
+ * Measures a call between processes: processor time of server and client, and bytes on the wire.
+ */
 import { create } from '@bufbuild/protobuf';
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { once } from 'node:events';
@@ -17,15 +19,15 @@
 import { readCpuMs } from '../harness/ProcessUsage.js';
 import type { ISlope } from './Measure.js';
 
-/** Argument with which this program serves calls in place of measuring. */
+/** Argument that makes this program the server of the measured calls. */
 export const SERVE_ARGUMENT = '--serve';
 
-const SECRET = 'slopes-cluster-secret';
+const CLUSTER_SECRET = 'slopes-cluster-secret';
 const WARM_UP_CALLS = 500;
-const CALLS = 4_000;
-const BYTE_CALLS = 200;
+const MEASURED_CALLS = 4_000;
+const PROXIED_CALLS = 200;
 
-/** Serves calls until the process is killed. */
+/** Serves feed polls and announcements with fixed responses until the process is killed. */
 export async function serveCalls(address: string): Promise<void> {
   const response = create(SyncResponseSchema, {
     clusterId: new Uint8Array(16),
@@ -34,7 +36,7 @@
     ageMs: 120,
     leaderAddress: address,
   });
-  const server = new InternalServer(address, SECRET, {
+  const server = new InternalServer(address, CLUSTER_SECRET, {
     registerRpc: (router) => {
       router.service(FeedService, { sync: () => response });
       router.service(RosterService, {
@@ -77,16 +79,16 @@
   }
 }
 
-/** Counts the bytes of both directions on their way to the server. */
+/** TCP proxy that counts the bytes of both directions. */
 class CountingProxy {
   public bytes = 0;
   private readonly _server: Server;
 
   constructor(port: number) {
-    this._server = createServer((near) => {
-      const far = connect(port, '127.0.0.1');
-      this._forward(near, far);
-      this._forward(far, near);
+    this._server = createServer((client) => {
+      const upstream = connect(port, '127.0.0.1');
+      this._forward(client, upstream);
+      this._forward(upstream, client);
     });
   }
 
@@ -109,42 +111,48 @@
   }
 }
 
-type ICall = (clients: RpcClients, address: string, calls: number) => Promise<void>;
+/** Makes `calls` calls one after another. */
+type RunCalls = (clients: RpcClients, address: string, calls: number) => Promise<void>;
 
+/** Cost of one call on average. */
 interface ICallCost {
   readonly serverUs: number;
   readonly clientUs: number;
   readonly bytes: number;
 }
 
+/**
+ * Measures processor time on a direct connection, then bytes through a proxy, so that the proxy
+ * adds nothing to the processor time of this process.
+ */
 async function measureCall(
   clients: RpcClients,
   serverPid: number,
   port: number,
   proxyPort: number,
-  call: ICall,
+  runCalls: RunCalls,
 ): Promise<ICallCost> {
   const address = `127.0.0.1:${port}`;
-  await call(clients, address, WARM_UP_CALLS);
+  await runCalls(clients, address, WARM_UP_CALLS);
   const serverBefore = readCpuMs(serverPid);
   const clientBefore = process.cpuUsage();
-  await call(clients, address, CALLS);
+  await runCalls(clients, address, MEASURED_CALLS);
   const { user, system } = process.cpuUsage(clientBefore);
   const serverMs = readCpuMs(serverPid) - serverBefore;
   const proxy = new CountingProxy(port);
   await proxy.listen(proxyPort);
-  const proxied = new RpcClients(SECRET);
-  await call(proxied, `127.0.0.1:${proxyPort}`, BYTE_CALLS);
+  const proxied = new RpcClients(CLUSTER_SECRET);
+  await runCalls(proxied, `127.0.0.1:${proxyPort}`, PROXIED_CALLS);
   proxied.dispose();
   proxy.close();
   return {
-    serverUs: (serverMs * 1_000) / CALLS,
-    clientUs: (user + system) / CALLS,
-    bytes: proxy.bytes / BYTE_CALLS,
+    serverUs: (serverMs * 1_000) / MEASURED_CALLS,
+    clientUs: (user + system) / MEASURED_CALLS,
+    bytes: proxy.bytes / PROXIED_CALLS,
   };
 }
 
-function describeCost(name: string, cost: ICallCost): ISlope[] {
+function createCostSlopes(name: string, cost: ICallCost): ISlope[] {
   const point = (value: number): ISlope['points'] => [{ size: 1, value }];
   return [
     { name: `${name}: server`, unit: 'us', per: 'call', points: point(cost.serverUs) },
@@ -153,16 +161,24 @@
   ];
 }
 
+/**
+ * Starts a server process and measures a feed poll and an announcement call.
+ *
+ * @param program bundle of this tool, started with `SERVE_ARGUMENT`
+ */
 export async function measureRpc(program: string, logFile: string): Promise<ISlope[]> {
-  const [port = 0, firstProxy = 0, secondProxy = 0] = await findFreePorts(3);
+  const [port = 0, syncProxyPort = 0, announceProxyPort = 0] = await findFreePorts(3);
   const child = new Child('server', [program, SERVE_ARGUMENT, `127.0.0.1:${port}`], logFile);
-  const clients = new RpcClients(SECRET);
+  const clients = new RpcClients(CLUSTER_SECRET);
   try {
     await waitForServer(clients, `127.0.0.1:${port}`);
     const pid = child.pid ?? 0;
-    const sync = await measureCall(clients, pid, port, firstProxy, callSync);
-    const announce = await measureCall(clients, pid, port, secondProxy, callAnnounce);
-    return [...describeCost('feed poll', sync), ...describeCost('announcement call', announce)];
+    const syncCost = await measureCall(clients, pid, port, syncProxyPort, callSync);
+    const announceCost = await measureCall(clients, pid, port, announceProxyPort, callAnnounce);
+    return [
+      ...createCostSlopes('feed poll', syncCost),
+      ...createCostSlopes('announcement call', announceCost),
+    ];
   } finally {
     clients.dispose();
     await child.stop('SIGKILL');
@@ -178,5 +194,5 @@
       await new Promise((resolve) => setTimeout(resolve, 50));
     }
   }
-  throw new Error(`the server at ${address} did not start`);
+  throw new Error(`the server at ${address} did not answer a call within about 5 s`);
 }
--- a/tools/slopes/StateSlopes.ts
+++ b/tools/slopes/StateSlopes.ts
@@ -1,4 +1,6 @@
-/** Replicated state: client accounts, grants, claims, changes and snapshots. */
+/**
+ * Measures the replicated state: client accounts, grants, claims, configuration changes, snapshots.
+ */
 import { create, toBinary, type MessageInitShape } from '@bufbuild/protobuf';
 import {
   ClientAccountSchema,
@@ -9,27 +11,27 @@
 import { ControlState } from '../../src/state/ControlState.js';
 import { computeMedian, measureKilobytes, measureUs, type ISlope } from './Measure.js';
 
-type Body = NonNullable<MessageInitShape<typeof CommandSchema>['body']>;
+type CommandBody = NonNullable<MessageInitShape<typeof CommandSchema>['body']>;
 
 const ACCOUNT_COUNTS = [100, 960, 4_000] as const;
-const GRANT_COUNTS = [1, 10, 100, 960] as const;
+const EXCHANGED_ACCOUNT_COUNTS = [1, 10, 100, 960] as const;
 const CLAIM_COUNTS = [1_000, 10_000, 40_000] as const;
-const EXCHANGES = 50;
-const CLAIMS = 1_000;
+const EXCHANGE_SAMPLES = 50;
+const COMMANDS_PER_STEP = 1_000;
 
-/** Applies commands with rising index and time. */
-class Applier {
+/** Applies commands to a state, with increasing log index and time. */
+class CommandApplier {
   public readonly state = new ControlState();
   private _index = 0;
 
-  public apply(body: Body): void {
+  public apply(body: CommandBody): void {
     this._index += 1;
     const command = create(CommandSchema, { timeMs: BigInt(this._index), body });
     this.state.apply(toBinary(CommandSchema, command), this._index);
   }
 
-  /** Encodes first, so that only the application is timed. */
-  public encode(body: Body): Uint8Array {
+  /** Encodes a command in advance, so that a measurement contains its application only. */
+  public encode(body: CommandBody): Uint8Array {
     return toBinary(CommandSchema, create(CommandSchema, { timeMs: BigInt(this._index), body }));
   }
 
@@ -39,7 +41,7 @@
   }
 }
 
-function buildAccount(index: number, version: number): Body {
+function buildAccountChange(index: number, version: number): CommandBody {
   const id = `account-${index}`;
   const account = create(ClientAccountSchema, {
     id,
@@ -58,15 +60,15 @@
   };
 }
 
-function createApplier(accounts: number): Applier {
-  const applier = new Applier();
+function createApplierWithAccounts(accounts: number): CommandApplier {
+  const applier = new CommandApplier();
   for (let index = 0; index < accounts; index++) {
-    applier.apply(buildAccount(index, index + 1));
+    applier.apply(buildAccountChange(index, index + 1));
   }
   return applier;
 }
 
-function buildExchange(accounts: number, sequence: number): Body {
+function buildExchange(accounts: number, sequence: number): CommandBody {
   return {
     case: 'syncGrants',
     value: {
@@ -81,7 +83,7 @@
   };
 }
 
-function buildClaim(index: number): Body {
+function buildClaim(index: number): CommandBody {
   return {
     case: 'claim',
     value: {
@@ -101,11 +103,12 @@
   };
 }
 
-function measureExchange(accounts: number): number {
-  const applier = createApplier(960);
+/** Measures applying a grant exchange of that many client accounts, in microseconds. */
+function measureExchangeApply(accounts: number): number {
+  const applier = createApplierWithAccounts(960);
   let sequence = 0;
   return computeMedian(
-    Array.from({ length: EXCHANGES }, () => {
+    Array.from({ length: EXCHANGE_SAMPLES }, () => {
       sequence += 1;
       const command = applier.encode(buildExchange(accounts, sequence));
       return measureUs(1, () => {
@@ -115,37 +118,39 @@
   );
 }
 
-function createClaims(count: number): Applier {
-  const applier = createApplier(1);
+function createApplierWithClaims(count: number): CommandApplier {
+  const applier = createApplierWithAccounts(1);
   for (let index = 0; index < count; index++) {
     applier.apply(buildClaim(index));
   }
   return applier;
 }
 
-function measureClaim(count: number): number {
-  const applier = createClaims(count);
-  let next = count;
-  return measureUs(CLAIMS, () => {
-    for (let index = 0; index < CLAIMS; index++) {
-      next += 1;
-      applier.applyEncoded(applier.encode(buildClaim(next)));
+/** Measures encoding and applying a claim to a state that holds `count` claims, in microseconds. */
+function measureClaimApply(count: number): number {
+  const applier = createApplierWithClaims(count);
+  let claimIndex = count;
+  return measureUs(COMMANDS_PER_STEP, () => {
+    for (let index = 0; index < COMMANDS_PER_STEP; index++) {
+      claimIndex += 1;
+      applier.applyEncoded(applier.encode(buildClaim(claimIndex)));
     }
   });
 }
 
-function measureChange(accounts: number): number {
-  const applier = createApplier(accounts);
+/** Measures encoding and applying a change of one client account, in microseconds. */
+function measureChangeApply(accounts: number): number {
+  const applier = createApplierWithAccounts(accounts);
   let version = accounts;
-  return measureUs(CLAIMS, () => {
-    for (let index = 0; index < CLAIMS; index++) {
+  return measureUs(COMMANDS_PER_STEP, () => {
+    for (let index = 0; index < COMMANDS_PER_STEP; index++) {
       version += 1;
-      applier.apply(buildAccount(index % accounts, version));
+      applier.apply(buildAccountChange(index % accounts, version));
     }
   });
 }
 
-/** Wallet that holds grants of some accounts and exchanges them. */
+/** Creates a wallet in which a request of each client account waits for tokens. */
 function createWallet(accounts: number): GrantWallet {
   const wallet = new GrantWallet({ instance: 'entry-1', incarnation: new Uint8Array(16) });
   for (let index = 0; index < accounts; index++) {
@@ -154,6 +159,7 @@
   return wallet;
 }
 
+/** Builds and encodes the next grant exchange of the wallet. */
 function encodeExchange(wallet: GrantWallet): SyncGrantsCommand | undefined {
   const command = wallet.buildSync(0);
   if (command !== undefined) {
@@ -165,9 +171,10 @@
   return command;
 }
 
-function measureWallet(accounts: number): number {
+/** Measures building and encoding a grant exchange at an entry, in microseconds. */
+function measureExchangeBuild(accounts: number): number {
   return computeMedian(
-    Array.from({ length: EXCHANGES }, () => {
+    Array.from({ length: EXCHANGE_SAMPLES }, () => {
       const wallet = createWallet(accounts);
       const startedAt = performance.now();
       encodeExchange(wallet);
@@ -176,6 +183,7 @@
   );
 }
 
+/** Measures the replicated state by number of client accounts and claims. */
 export function measureState(): ISlope[] {
   return [
     {
@@ -184,34 +192,34 @@
       per: 'client account',
       points: ACCOUNT_COUNTS.map((size) => ({
         size,
-        value: measureKilobytes(() => createApplier(size)),
+        value: measureKilobytes(() => createApplierWithAccounts(size)),
       })),
     },
     {
       name: 'configuration change (apply)',
       unit: 'us',
       per: 'client account',
-      points: ACCOUNT_COUNTS.map((size) => ({ size, value: measureChange(size) })),
+      points: ACCOUNT_COUNTS.map((size) => ({ size, value: measureChangeApply(size) })),
     },
     {
       name: 'grant exchange (apply)',
       unit: 'us',
       per: 'account in the exchange',
-      points: GRANT_COUNTS.map((size) => ({ size, value: measureExchange(size) })),
+      points: EXCHANGED_ACCOUNT_COUNTS.map((size) => ({ size, value: measureExchangeApply(size) })),
     },
     {
       name: 'grant exchange (build and encode at an entry)',
       unit: 'us',
       per: 'account in the exchange',
-      points: GRANT_COUNTS.map((size) => ({ size, value: measureWallet(size) })),
+      points: EXCHANGED_ACCOUNT_COUNTS.map((size) => ({ size, value: measureExchangeBuild(size) })),
     },
     {
       name: 'grant exchange on the wire',
       unit: 'bytes',
       per: 'account in the exchange',
-      points: GRANT_COUNTS.map((size) => ({
+      points: EXCHANGED_ACCOUNT_COUNTS.map((size) => ({
         size,
-        value: new Applier().encode(buildExchange(size, 1)).length,
+        value: new CommandApplier().encode(buildExchange(size, 1)).length,
       })),
     },
     {
@@ -220,21 +228,21 @@
       per: 'claim',
       points: CLAIM_COUNTS.map((size) => ({
         size,
-        value: measureKilobytes(() => createClaims(size)),
+        value: measureKilobytes(() => createApplierWithClaims(size)),
       })),
     },
     {
       name: 'claim (apply)',
       unit: 'us',
       per: 'claim held',
-      points: CLAIM_COUNTS.map((size) => ({ size, value: measureClaim(size) })),
+      points: CLAIM_COUNTS.map((size) => ({ size, value: measureClaimApply(size) })),
     },
     {
       name: 'snapshot',
       unit: 'us',
       per: 'claim held',
       points: CLAIM_COUNTS.map((size) => {
-        const { state } = createClaims(size);
+        const { state } = createApplierWithClaims(size);
         return { size, value: measureUs(1, () => void state.snapshot()) };
       }),
     },
