--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -1,18 +1,23 @@
-/** Starts a small deployment, sends a mixed load through it and checks what came back. */
+/**
+ * Starts a small deployment, sends requests of all kinds through it and checks the answers, also
+ * during a change of weights, the crash of an entry and a shutdown. Exits with 1 if a check fails.
+ */
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { Deployment, type IDeploymentPlan } from './harness/Deployment.js';
 import { FRANCHISE_PLAN } from './harness/Franchise.js';
 
-/** A pricking standard of a few cached chunks that all prompts share. */
-const STANDARD = 'A lace pattern is checked line by line against the standard. '.repeat(600);
+/** Long system prompt of a few cacheable chunks, shared by most requests. */
+const SHARED_STANDARD = 'A lace pattern is checked line by line against the standard. '.repeat(600);
 
-/** Another standard, so that its chunks are cached only by requests that name it. */
-const OTHER_STANDARD = `Bobbin rules. ${STANDARD}`;
+/** System prompt with other chunks, which only the requests that use it bring into a cache. */
+const OTHER_STANDARD = `Bobbin rules. ${SHARED_STANDARD}`;
 
-const ENGINES = ['lace-1', 'lace-2', 'lace-3'];
+const ENGINE_IDS = ['lace-1', 'lace-2', 'lace-3'];
 
-/** A third engine makes the limit of two loads at once visible. */
-const PLAN: IDeploymentPlan = {
+/**
+ * A third engine, so that a violation of the limit of two concurrent weights loads can be observed.
+ */
+const DEPLOYMENT_PLAN: IDeploymentPlan = {
   ...FRANCHISE_PLAN,
   hasKvCacheStore: true,
   targets: [
@@ -34,12 +39,14 @@
   process.stdout.write(`${ok ? 'ok  ' : 'FAIL'} ${name}: ${detail}\n`);
 }
 
+/** A complete HTTP answer. */
 interface IAnswer {
   readonly status: number;
   readonly text: string;
   readonly headers: Headers;
 }
 
+/** Sends a request, with the key as bearer token if there is one, and reads the whole answer. */
 async function call(
   url: string,
   key: string | undefined,
@@ -57,7 +64,7 @@
   url: string,
   key: string,
   maxTokens: number,
-  standard = STANDARD,
+  standard = SHARED_STANDARD,
 ): Promise<IAnswer> {
   return call(`${url}/v1/chat/completions`, key, {
     method: 'POST',
@@ -73,7 +80,7 @@
   });
 }
 
-/** Text deltas of a stream, in order. */
+/** Returns the text deltas of a stream in their order. */
 function listDeltas(stream: string): string[] {
   return stream
     .split('\n')
@@ -88,11 +95,15 @@
   readonly usage?: { readonly prompt_tokens_details?: { readonly cached_tokens: number } };
 }
 
+/**
+ * Whether a stream contains exactly `tokens` tokens of a fake engine in order and its end marker.
+ */
 function isCompleteStream(stream: string, tokens: number): boolean {
   const expected = Array.from({ length: tokens }, (_, index) => `t${index} `).join('');
   return listDeltas(stream).join('') === expected && stream.endsWith('data: [DONE]\n\n');
 }
 
+/** Starts the deployment, publishes its files and returns a key that every entry accepts. */
 async function prepareDeployment(deployment: Deployment): Promise<string> {
   await deployment.start();
   await deployment.waitFor('a control leader', async () => {
@@ -106,8 +117,8 @@
     'demo',
   ]);
   recordCheck('publish', published.code === 0, published.stdout.trim() || published.stderr.trim());
-  const given = await deployment.runOperator(['key', 'give', 'pag']);
-  const key = /rww_\S+/.exec(given.stdout)?.[0] ?? '';
+  const keyCommand = await deployment.runOperator(['key', 'give', 'pag']);
+  const key = /rww_\S+/.exec(keyCommand.stdout)?.[0] ?? '';
   for (const entry of deployment.listEntries()) {
     await deployment.waitFor(`${entry} to serve`, async () => {
       const stock = await call(`${deployment.getUrl(entry)}/stock/linen`, key);
@@ -119,7 +130,8 @@
   return key;
 }
 
-async function checkModel(deployment: Deployment, key: string): Promise<void> {
+/** Checks that a stream is complete and that another entry makes use of the cached prompt. */
+async function checkModelService(deployment: Deployment, key: string): Promise<void> {
   const url = deployment.getUrl('entry-1');
   const first = await streamCompletion(url, key, 20);
   recordCheck('streamed answer', isCompleteStream(first.text, 20), '20 tokens in order');
@@ -128,23 +140,27 @@
   recordCheck('cached prefix', cached > 0, `${cached} prompt tokens came from the cache`);
 }
 
-interface ICarriedOrder {
+/** One load of weights, as a fake engine recorded it. */
+interface ILoadRecord {
   readonly version: string;
   readonly startedAt: number;
   readonly finishedAt: number;
 }
 
-/** Largest number of loads that ran at the same time. */
-function countOverlaps(orders: readonly ICarriedOrder[]): number {
-  const counts = orders.map(
+/** Returns the largest number of loads that ran at the same time. */
+function countConcurrentLoads(loads: readonly ILoadRecord[]): number {
+  const counts = loads.map(
     ({ startedAt }) =>
-      orders.filter((order) => order.startedAt <= startedAt && startedAt < order.finishedAt).length,
+      loads.filter((load) => load.startedAt <= startedAt && startedAt < load.finishedAt).length,
   );
   return Math.max(0, ...counts);
 }
 
-/** Streams short answers one after the other until the signal is aborted. */
-async function keepStreaming(
+/**
+ * Streams one short answer after another until the signal aborts; returns 'complete' or what was
+ * wrong.
+ */
+async function streamUntilAborted(
   url: string,
   key: string,
   tokens: number,
@@ -159,46 +175,55 @@
 }
 
 async function publishWeights(deployment: Deployment, version: string): Promise<void> {
-  const folder = `${deployment.folder}/services/weights`;
-  mkdirSync(folder, { recursive: true });
+  const weightsFolder = `${deployment.folder}/services/weights`;
+  mkdirSync(weightsFolder, { recursive: true });
   const content = { weights: [{ model: 'lace-1', version }] };
-  writeFileSync(`${folder}/redwingwharf.json`, JSON.stringify(content));
+  writeFileSync(`${weightsFolder}/redwingwharf.json`, JSON.stringify(content));
   const args = ['publish', `${deployment.folder}/services`, '--operator', 'demo'];
   const published = await deployment.runOperator(args);
   recordCheck(`publish weights ${version}`, published.code === 0, published.stdout.trim());
 }
 
-async function listOrders(deployment: Deployment): Promise<ICarriedOrder[][]> {
-  const answers = ENGINES.map((id) =>
+/** Fetches the loads of each engine, in the order of `ENGINE_IDS`. */
+async function fetchLoadRecords(deployment: Deployment): Promise<ILoadRecord[][]> {
+  const answers = ENGINE_IDS.map((id) =>
     call(`${deployment.getTargetUrl(id)}/admin/orders`, undefined),
   );
-  return (await Promise.all(answers)).map(({ text }) => JSON.parse(text) as ICarriedOrder[]);
+  return (await Promise.all(answers)).map(({ text }) => JSON.parse(text) as ILoadRecord[]);
 }
 
+/** Returns the cached prompt tokens that the usage of a stream states, or -1 without usage. */
 function readCachedTokens(stream: string): number {
   return Number(/"cached_tokens":(\d+)/.exec(stream)?.[1] ?? -1);
 }
 
+/** Checks that new weights reach all engines while streams continue and stay complete. */
 async function checkWeights(deployment: Deployment, key: string): Promise<void> {
-  const [first = '', second = '', third = ''] = deployment
+  const [firstUrl = '', secondUrl = '', thirdUrl = ''] = deployment
     .listEntries()
     .map((entry) => deployment.getUrl(entry));
-  await streamCompletion(first, key, 1, OTHER_STANDARD);
+  await streamCompletion(firstUrl, key, 1, OTHER_STANDARD);
   const stop = new AbortController();
-  const streaming = [first, second, third].map((url) => keepStreaming(url, key, 40, stop.signal));
+  const streaming = [firstUrl, secondUrl, thirdUrl].map((url) =>
+    streamUntilAborted(url, key, 40, stop.signal),
+  );
   const startedAt = performance.now();
   await publishWeights(deployment, 'w2');
-  await deployment.waitFor('the new weights', async () => {
-    const states = ENGINES.map((id) => call(`${deployment.getTargetUrl(id)}/health`, undefined));
+  await deployment.waitFor('the new weights on all engines', async () => {
+    const states = ENGINE_IDS.map((id) => call(`${deployment.getTargetUrl(id)}/health`, undefined));
     return (await Promise.all(states)).every(({ text }) => text.includes('"w2"'));
   });
   const tookMs = Math.round(performance.now() - startedAt);
-  const orders = await listOrders(deployment);
-  const atOnce = countOverlaps(orders.flat());
-  const isOnce = orders.every(({ length }) => length === 1);
-  const detail = `${ENGINES.length} engines in ${tookMs} ms, ${atOnce} at once`;
-  recordCheck('new weights on all engines, one load each', isOnce && atOnce <= 2, detail);
-  await deployment.waitFor('the entries to know the new weights', async () => {
+  const loadsByEngine = await fetchLoadRecords(deployment);
+  const maxConcurrentLoads = countConcurrentLoads(loadsByEngine.flat());
+  const isLoadedOnce = loadsByEngine.every(({ length }) => length === 1);
+  const detail = `${ENGINE_IDS.length} engines in ${tookMs} ms, ${maxConcurrentLoads} at once`;
+  recordCheck(
+    'new weights on all engines, one load each',
+    isLoadedOnce && maxConcurrentLoads <= 2,
+    detail,
+  );
+  await deployment.waitFor('entry-1 to report the new weights', async () => {
     const { stdout } = await deployment.runOperator([
       'status',
       '--entries',
@@ -208,16 +233,23 @@
     ]);
     return !stdout.includes('"w1"');
   });
-  const after = readCachedTokens((await streamCompletion(first, key, 1, OTHER_STANDARD)).text);
-  recordCheck('no cached tokens of the old weights', after === 0, `${after} cached tokens`);
+  const cachedTokens = readCachedTokens(
+    (await streamCompletion(firstUrl, key, 1, OTHER_STANDARD)).text,
+  );
+  recordCheck(
+    'no cached tokens of the old weights',
+    cachedTokens === 0,
+    `${cachedTokens} cached tokens`,
+  );
   stop.abort();
   const results = (await Promise.all(streaming)).flat();
-  const broken = results.filter((result) => result !== 'complete');
-  const streams = `${results.length} streams, ${broken.length} not complete ${broken[0] ?? ''}`;
-  recordCheck('streams complete during the change', broken.length === 0, streams);
+  const incomplete = results.filter((result) => result !== 'complete');
+  const streams = `${results.length} streams, ${incomplete.length} not complete ${incomplete[0] ?? ''}`;
+  recordCheck('streams complete during the change', incomplete.length === 0, streams);
 }
 
-async function checkPlain(deployment: Deployment, key: string): Promise<void> {
+/** Checks a lookup, an open route, and idempotency of an order that is sent again. */
+async function checkPlainServices(deployment: Deployment, key: string): Promise<void> {
   const url = deployment.getUrl('entry-2');
   const stock = await call(`${url}/stock/linen`, key);
   recordCheck('lookup', stock.status === 200, stock.text);
@@ -230,35 +262,36 @@
   recordCheck('order', first.status === 201, first.text);
   const isSame = resent.text === first.text && resent.headers.get('x-rww-replayed') === 'true';
   recordCheck('resent order gets the same answer', isSame, `status ${resent.status}`);
-  const other = await call(`${url}/orders`, key, {
+  const reusedKey = await call(`${url}/orders`, key, {
     method: 'POST',
     body: '{"order":"x"}',
     headers,
   });
-  recordCheck('same key for another order is refused', other.status === 422, other.text);
+  recordCheck('same key for another order is refused', reusedKey.status === 422, reusedKey.text);
 }
 
+/** Checks that missing, wrong and withdrawn keys and services of other accounts are refused. */
 async function checkKeys(deployment: Deployment, key: string): Promise<void> {
   const url = deployment.getUrl('entry-1');
   const missing = await call(`${url}/stock/linen`, undefined);
   recordCheck('missing key', missing.status === 401, missing.text);
   const wrong = await call(`${url}/stock/linen`, `${key.slice(0, -4)}AAAA`);
   recordCheck('wrong key', wrong.status === 401, wrong.text);
-  const hvar = await deployment.runOperator(['key', 'give', 'hvar']);
-  const hvarKey = /rww_([0-9a-f]+)_\S+/.exec(hvar.stdout);
-  await deployment.waitFor('the new key', async () => {
-    const stock = await call(`${url}/stock/linen`, hvarKey?.[0]);
+  const keyCommand = await deployment.runOperator(['key', 'give', 'hvar']);
+  const hvarKeyMatch = /rww_([0-9a-f]+)_\S+/.exec(keyCommand.stdout);
+  await deployment.waitFor('the new key to be accepted', async () => {
+    const stock = await call(`${url}/stock/linen`, hvarKeyMatch?.[0]);
     return stock.status === 200;
   });
-  const forbidden = await streamCompletion(url, hvarKey?.[0] ?? '', 1);
+  const forbidden = await streamCompletion(url, hvarKeyMatch?.[0] ?? '', 1);
   recordCheck('service of another account', forbidden.status === 403, forbidden.text);
-  await deployment.runOperator(['key', 'withdraw', hvarKey?.[1] ?? '']);
+  await deployment.runOperator(['key', 'withdraw', hvarKeyMatch?.[1] ?? '']);
   const withdrawnAt = performance.now();
-  await deployment.waitFor('the key to stop', async () => {
+  await deployment.waitFor('the withdrawn key to be refused', async () => {
     const answers = await Promise.all(
       deployment
         .listEntries()
-        .map((entry) => call(`${deployment.getUrl(entry)}/stock/linen`, hvarKey?.[0])),
+        .map((entry) => call(`${deployment.getUrl(entry)}/stock/linen`, hvarKeyMatch?.[0])),
     );
     return answers.every(({ status }) => status === 401);
   });
@@ -266,6 +299,7 @@
   recordCheck('withdrawn key stops everywhere', tookMs < 4_000, `after ${tookMs} ms`);
 }
 
+/** Checks that a killed entry interrupts neither the other entries nor their streams. */
 async function checkRestart(deployment: Deployment, key: string): Promise<void> {
   const stream = streamCompletion(deployment.getUrl('entry-1'), key, 200);
   await deployment.getChild('entry-3')?.stop('SIGKILL');
@@ -274,14 +308,15 @@
   const restartedAt = performance.now();
   deployment.startEntry('entry-3');
   await deployment.waitFor('entry-3 to be ready', () => deployment.isReady('entry-3'));
-  const after = await deployment.waitForAnswer('entry-3', key);
+  const hasAnswered = await deployment.waitForAnswer('entry-3', key);
   const tookMs = Math.round(performance.now() - restartedAt);
-  recordCheck('the restarted entry serves', after, `first answer after ${tookMs} ms`);
+  recordCheck('the restarted entry serves', hasAnswered, `first answer after ${tookMs} ms`);
   const { text } = await stream;
   recordCheck('the open stream is complete', isCompleteStream(text, 200), '200 tokens in order');
 }
 
-async function checkTargets(deployment: Deployment): Promise<void> {
+/** Checks that the order had one effect and that no client key reached a target. */
+async function checkTargetObservations(deployment: Deployment): Promise<void> {
   const effects = readFileSync(deployment.ledgerFile, 'utf8').trim().split('\n');
   recordCheck('effects of the order', effects.length === 1, `${effects.length} recorded`);
   let leakedKeys = 0;
@@ -296,6 +331,7 @@
   recordCheck('no target saw a key', leakedKeys === 0 && requests > 0, detail);
 }
 
+/** Checks that an entry finishes its open stream before it stops. */
 async function checkShutdown(deployment: Deployment, key: string): Promise<void> {
   const stream = streamCompletion(deployment.getUrl('entry-2'), key, 300);
   await deployment.waitFor('the stream to start', async () => {
@@ -316,18 +352,18 @@
 
 async function runChecks(deployment: Deployment): Promise<void> {
   const key = await prepareDeployment(deployment);
-  await checkModel(deployment, key);
+  await checkModelService(deployment, key);
   await checkWeights(deployment, key);
-  await checkPlain(deployment, key);
+  await checkPlainServices(deployment, key);
   await checkKeys(deployment, key);
   await checkRestart(deployment, key);
-  await checkTargets(deployment);
+  await checkTargetObservations(deployment);
   await checkShutdown(deployment, key);
 }
 
 async function main(): Promise<void> {
   const startedAt = performance.now();
-  const deployment = await Deployment.create(PLAN);
+  const deployment = await Deployment.create(DEPLOYMENT_PLAN);
   try {
     await runChecks(deployment);
   } catch (error) {
--- a/tools/overhead.ts
+++ b/tools/overhead.ts
@@ -1,7 +1,8 @@
 /**
- * Measures what entry, sidecar and control cost: time to first token against a direct request to the
- * same fake in the same run, processor time per request and per relayed event at several sizes, and
- * what idle processes take. docs/overhead.md describes the method.
+ * Measures the overhead of entry, sidecar and control members: time to first token compared with a
+ * direct request to the same fake engine in the same run, processor time per request and per
+ * relayed event at several levels of concurrency, and the resources of idle processes.
+ * docs/overhead.md describes the method.
  */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -15,38 +16,41 @@
   readWrittenBytes,
 } from './harness/ProcessUsage.js';
 
-const ENTRY = 'entry-1';
-const SIDECAR = 'sidecar-lace-1';
+const ENTRY_NAME = 'entry-1';
+const SIDECAR_NAME = 'sidecar-lace-1';
 
-/** Requests of each kind for the time to first token. */
-const LATENCY_REQUESTS = 300;
-const WARM_UP_REQUESTS = 100;
+/** Direct and routed requests each, for the time to first token; the warm-up is not recorded. */
+const LATENCY_REQUEST_COUNT = 300;
+const WARM_UP_REQUEST_COUNT = 100;
 
-/** Short requests for the processor time per request. */
-const REQUEST_SIZES = [5, 20, 80] as const;
-const SHORT_REQUESTS = 1_000;
+/** Concurrent requests, and short requests in total, for the processor time per request. */
+const REQUEST_CONCURRENCIES = [5, 20, 80] as const;
+const SHORT_REQUEST_COUNT = 1_000;
 
-/** Streams for the processor time per relayed event, and the time after the last one has begun. */
-const STREAM_SIZES = [50, 200, 800] as const;
+/**
+ * Concurrent streams for the processor time per relayed event, tokens of each, and duration of the
+ * measurement after the last one has started.
+ */
+const STREAM_COUNTS = [50, 200, 800] as const;
 const STREAM_TOKENS = 300;
-const EVENTS_MS = 3_000;
+const EVENT_MEASUREMENT_MS = 3_000;
 
-const STREAMS_TIMEOUT_MS = 120_000;
+const STREAMS_END_TIMEOUT_MS = 120_000;
 
-/** Pause between the tokens of a stream: the target for 95 in 100. */
-const DECODE_MS = 32;
+/** Interval between the tokens of a stream: the latency objective for 95 % of the tokens. */
+const TOKEN_INTERVAL_MS = 32;
 
-/** Length of an idle measurement, and the pause before it in which timers and grants settle. */
-const IDLE_MS = 10_000;
-const SETTLE_MS = 3_000;
+/** Duration of the idle measurement, and the delay before it in which timers and grants settle. */
+const IDLE_MEASUREMENT_MS = 10_000;
+const SETTLE_DELAY_MS = 3_000;
 
-/** Idle time whose cost is taken off the cost under load. */
-const BACKGROUND_MS = 4_000;
+/** Duration of the measurement of the idle cost that is subtracted from the cost under load. */
+const IDLE_COST_MEASUREMENT_MS = 4_000;
 
-const PHASES = ['latency', 'requests', 'events', 'idle'] as const;
-type Phase = (typeof PHASES)[number];
+const MEASUREMENTS = ['latency', 'requests', 'events', 'idle'] as const;
+type Measurement = (typeof MEASUREMENTS)[number];
 
-/** An entry keeps at most 256 dispatches open for a target, so 800 streams need four. */
+/** An entry keeps at most 256 dispatches open for a target, so 800 streams need four engines. */
 const ENGINE_COUNT = 4;
 
 const TARGETS: IDeploymentPlan['targets'] = Array.from({ length: ENGINE_COUNT }, (_, index) => ({
@@ -57,7 +61,7 @@
   dataCentre: 'dc-a',
   fakeArgs: [
     '--decode-ms',
-    String(DECODE_MS),
+    String(TOKEN_INTERVAL_MS),
     '--max-running',
     '4096',
     '--prefill-tps',
@@ -65,7 +69,7 @@
   ],
 }));
 
-const SIDECARS = TARGETS.map(({ id }) => `sidecar-${id}`);
+const SIDECAR_NAMES = TARGETS.map(({ id }) => `sidecar-${id}`);
 
 const OPERATOR_FILES: IDeploymentPlan['operatorFiles'] = {
   lace: { services: [{ name: 'lace', kind: 'model', models: ['lace-1'] }] },
@@ -76,17 +80,19 @@
 
 const LOAD_PLAN: IDeploymentPlan = {
   region: 'local',
-  entries: [{ name: ENTRY, dataCentre: 'dc-a' }],
+  entries: [{ name: ENTRY_NAME, dataCentre: 'dc-a' }],
   targets: TARGETS,
   operatorFiles: OPERATOR_FILES,
 };
 
-/** Processes of the idle measurement. The first entry founds the control group and leads it. */
+/**
+ * Processes of the idle measurement. The first entry bootstraps the consensus group and leads it.
+ */
 const IDLE_PROCESSES = {
   controlLeader: 'entry-1',
   controlFollower: 'entry-2',
   entryOnly: 'entry-4',
-  sidecar: SIDECAR,
+  sidecar: SIDECAR_NAME,
 } as const;
 
 const IDLE_PLAN: IDeploymentPlan = {
@@ -100,13 +106,14 @@
   ],
 };
 
+/** Part of the printed JSON object. */
 type Result = Readonly<Record<string, unknown>>;
 
-/** Processor time of the entry and of all sidecars together in milliseconds. */
-type CpuPair = readonly [entry: number, sidecar: number];
+/** Processor time of the entry, and of all sidecars together, in milliseconds. */
+type CpuTimesMs = readonly [entry: number, sidecar: number];
 
-/** Processor time per millisecond of an idle entry and sidecar. */
-type Background = CpuPair;
+/** Processor time per elapsed millisecond of an idle entry and its idle sidecars. */
+type IdleCpuRates = CpuTimesMs;
 
 function createHistogram(): Histogram {
   return build({ highestTrackableValue: 60_000_000, numberOfSignificantValueDigits: 3 });
@@ -120,17 +127,18 @@
   };
 }
 
+/** Starts the deployment, publishes its files and returns a key that the entry accepts. */
 async function prepareDeployment(deployment: Deployment): Promise<string> {
   await deployment.start();
-  await deployment.waitFor('the accounts', async () => {
+  await deployment.waitFor('the configuration to be published', async () => {
     const published = await deployment.runOperator(['publish', `${deployment.folder}/services`]);
     return published.code === 0;
   });
-  const given = await deployment.runOperator(['key', 'give', 'load']);
-  const key = /rww_\S+/.exec(given.stdout)?.[0] ?? '';
+  const keyCommand = await deployment.runOperator(['key', 'give', 'load']);
+  const key = /rww_\S+/.exec(keyCommand.stdout)?.[0] ?? '';
   const client = new LoadClient();
-  await deployment.waitFor('the path', async () => {
-    const times = await client.stream(deployment.getUrl(ENTRY), key, buildBody(1));
+  await deployment.waitFor('the first routed answer', async () => {
+    const times = await client.stream(deployment.getUrl(ENTRY_NAME), key, buildBody(1));
     return times.status === 200;
   });
   await client.close();
@@ -141,30 +149,30 @@
   return Number(value.toFixed(digits));
 }
 
-function describeMs(histogram: Histogram, percentile: number): number {
+function getPercentileMs(histogram: Histogram, percentile: number): number {
   return limitDigits(histogram.getValueAtPercentile(percentile) / 1_000, 2);
 }
 
-/** Direct and routed requests take turns, so that both see the same state of the machine. */
+/** Alternates direct and routed requests, so that both meet the same state of the machine. */
 async function measureLatency(deployment: Deployment, key: string): Promise<Result> {
   const client = new LoadClient();
-  const direct = createHistogram();
-  const routed = createHistogram();
-  for (let index = 0; index < LATENCY_REQUESTS + WARM_UP_REQUESTS; index++) {
+  const directHistogram = createHistogram();
+  const routedHistogram = createHistogram();
+  for (let index = 0; index < LATENCY_REQUEST_COUNT + WARM_UP_REQUEST_COUNT; index++) {
     const body = buildBody(1);
-    const plain = await client.stream(deployment.getTargetUrl('lace-1'), undefined, body);
-    const full = await client.stream(deployment.getUrl(ENTRY), key, body);
-    if (index >= WARM_UP_REQUESTS) {
-      direct.recordValue(Math.round(plain.firstByteMs * 1_000));
-      routed.recordValue(Math.round(full.firstByteMs * 1_000));
+    const directTimes = await client.stream(deployment.getTargetUrl('lace-1'), undefined, body);
+    const routedTimes = await client.stream(deployment.getUrl(ENTRY_NAME), key, body);
+    if (index >= WARM_UP_REQUEST_COUNT) {
+      directHistogram.recordValue(Math.round(directTimes.firstByteMs * 1_000));
+      routedHistogram.recordValue(Math.round(routedTimes.firstByteMs * 1_000));
     }
   }
   await client.close();
   return {
-    ttftDirectP50Ms: describeMs(direct, 50),
-    ttftDirectP99Ms: describeMs(direct, 99),
-    ttftRoutedP50Ms: describeMs(routed, 50),
-    ttftRoutedP99Ms: describeMs(routed, 99),
+    ttftDirectP50Ms: getPercentileMs(directHistogram, 50),
+    ttftDirectP99Ms: getPercentileMs(directHistogram, 99),
+    ttftRoutedP50Ms: getPercentileMs(routedHistogram, 50),
+    ttftRoutedP99Ms: getPercentileMs(routedHistogram, 99),
   };
 }
 
@@ -172,93 +180,114 @@
   return deployment.getChild(name)?.pid ?? 0;
 }
 
-function readCpuPair(deployment: Deployment): CpuPair {
-  const sidecarMs = SIDECARS.map((name) => readCpuMs(getPid(deployment, name)));
+function readCpuTimes(deployment: Deployment): CpuTimesMs {
+  const sidecarMs = SIDECAR_NAMES.map((name) => readCpuMs(getPid(deployment, name)));
   return [
-    readCpuMs(getPid(deployment, ENTRY)),
+    readCpuMs(getPid(deployment, ENTRY_NAME)),
     sidecarMs.reduce((sum, milliseconds) => sum + milliseconds, 0),
   ];
 }
 
-async function measureBackground(deployment: Deployment): Promise<Background> {
-  await delay(SETTLE_MS);
-  const before = readCpuPair(deployment);
-  await delay(BACKGROUND_MS);
-  const after = readCpuPair(deployment);
-  return [(after[0] - before[0]) / BACKGROUND_MS, (after[1] - before[1]) / BACKGROUND_MS];
+async function measureIdleCpuRates(deployment: Deployment): Promise<IdleCpuRates> {
+  await delay(SETTLE_DELAY_MS);
+  const before = readCpuTimes(deployment);
+  await delay(IDLE_COST_MEASUREMENT_MS);
+  const after = readCpuTimes(deployment);
+  return [
+    (after[0] - before[0]) / IDLE_COST_MEASUREMENT_MS,
+    (after[1] - before[1]) / IDLE_COST_MEASUREMENT_MS,
+  ];
 }
 
-/** Processor time per unit, without what the processes take when they are idle. */
-async function measureCost(
+/**
+ * Measures the processor time for each unit of work, without that of the idle processes.
+ *
+ * @param runUnits does the work and returns the number of units
+ */
+async function measureCpuCost(
   deployment: Deployment,
-  background: Background,
-  units: () => Promise<number>,
+  idleCpuRates: IdleCpuRates,
+  runUnits: () => Promise<number>,
 ): Promise<{ count: number; seconds: number; entryUs: number; sidecarUs: number }> {
-  const before = readCpuPair(deployment);
+  const before = readCpuTimes(deployment);
   const startedAt = performance.now();
-  const count = await units();
+  const count = await runUnits();
   const elapsedMs = performance.now() - startedAt;
-  const after = readCpuPair(deployment);
+  const after = readCpuTimes(deployment);
   const [entryUs, sidecarUs] = ([0, 1] as const).map(
-    (index) => ((after[index] - before[index] - background[index] * elapsedMs) * 1_000) / count,
+    (index) => ((after[index] - before[index] - idleCpuRates[index] * elapsedMs) * 1_000) / count,
   );
   return { count, seconds: elapsedMs / 1_000, entryUs: entryUs ?? 0, sidecarUs: sidecarUs ?? 0 };
 }
 
-async function runRequests(deployment: Deployment, key: string, atOnce: number): Promise<number> {
+/** Sends short requests with limited concurrency and returns their number. */
+async function runRequests(
+  deployment: Deployment,
+  key: string,
+  concurrency: number,
+): Promise<number> {
   const client = new LoadClient();
-  await runConcurrently(SHORT_REQUESTS, atOnce, async () => {
-    const { status } = await client.stream(deployment.getUrl(ENTRY), key, buildBody(1));
+  await runConcurrently(SHORT_REQUEST_COUNT, concurrency, async () => {
+    const { status } = await client.stream(deployment.getUrl(ENTRY_NAME), key, buildBody(1));
     if (status !== 200) {
-      throw new Error(`unexpected status ${status}`);
+      throw new Error(`unexpected status ${status} of a short request, 200 is expected`);
     }
   });
   await client.close();
-  return SHORT_REQUESTS;
+  return SHORT_REQUEST_COUNT;
 }
 
-/** Streams of which each has delivered its first event; their requests are no part of the cost. */
+/**
+ * Opens streams and counts their events. A measurement begins after each stream has delivered its
+ * first event, so that the cost of the requests is excluded.
+ */
 class OpenStreams {
   private readonly _client = new LoadClient();
-  private _begun = 0;
-  private _ended = 0;
+  private _startedCount = 0;
+  private _endedCount = 0;
   private _failure: Error | undefined;
-  public events = 0;
-  public reads = 0;
+  /** Server-sent events received. */
+  public eventCount = 0;
+  /** Chunks in which the events arrived. */
+  public readCount = 0;
 
-  constructor(private readonly _count: number) {}
+  constructor(private readonly _streamCount: number) {}
 
   public async start(deployment: Deployment, key: string): Promise<void> {
-    for (let index = 0; index < this._count; index++) {
-      this._run(deployment, key).catch((error: unknown) => {
+    for (let index = 0; index < this._streamCount; index++) {
+      this._runStream(deployment, key).catch((error: unknown) => {
         this._failure ??= error instanceof Error ? error : new Error(String(error));
       });
     }
-    await deployment.waitFor('the streams', () => Promise.resolve(this._isSettled(this._begun)));
+    await deployment.waitFor('the streams to start', () =>
+      Promise.resolve(this._hasAllOrFailed(this._startedCount)),
+    );
     this.assertOpen();
   }
 
-  /** Throws when a stream has ended already, because then the events were fewer than planned. */
+  /** Throws if a stream has ended already, because fewer events than planned were measured then. */
   public assertOpen(): void {
     this._assertNoFailure();
-    if (this._ended > 0) {
-      throw new Error(`${this._ended} of ${this._count} streams ended during the measurement`);
+    if (this._endedCount > 0) {
+      throw new Error(
+        `${this._endedCount} of ${this._streamCount} streams ended during the measurement`,
+      );
     }
   }
 
-  public async waitEnded(deployment: Deployment): Promise<void> {
+  public async waitUntilEnded(deployment: Deployment): Promise<void> {
     await deployment.waitFor(
       'the end of the streams',
-      () => Promise.resolve(this._isSettled(this._ended)),
-      STREAMS_TIMEOUT_MS,
+      () => Promise.resolve(this._hasAllOrFailed(this._endedCount)),
+      STREAMS_END_TIMEOUT_MS,
     );
     this._assertNoFailure();
     await this._client.close();
   }
 
-  /** A failed stream ends the wait, so that its error is what the run reports. */
-  private _isSettled(done: number): boolean {
-    return done === this._count || this._failure !== undefined;
+  /** True also after a failure, so that the run reports the error of the stream and no timeout. */
+  private _hasAllOrFailed(count: number): boolean {
+    return count === this._streamCount || this._failure !== undefined;
   }
 
   private _assertNoFailure(): void {
@@ -267,30 +296,30 @@
     }
   }
 
-  private async _run(deployment: Deployment, key: string): Promise<void> {
-    let hasBegun = false;
-    const url = deployment.getUrl(ENTRY);
+  private async _runStream(deployment: Deployment, key: string): Promise<void> {
+    let hasStarted = false;
+    const url = deployment.getUrl(ENTRY_NAME);
     const times = await this._client.stream(url, key, buildBody(STREAM_TOKENS), (count) => {
-      this._begun += hasBegun ? 0 : 1;
-      hasBegun = true;
-      this.events += count;
-      this.reads += 1;
+      this._startedCount += hasStarted ? 0 : 1;
+      hasStarted = true;
+      this.eventCount += count;
+      this.readCount += 1;
     });
     if (times.status !== 200) {
-      throw new Error(`unexpected status ${times.status}`);
+      throw new Error(`unexpected status ${times.status} of a stream, 200 is expected`);
     }
-    this._ended += 1;
+    this._endedCount += 1;
   }
 }
 
 async function measureRequests(
   deployment: Deployment,
   key: string,
-  background: Background,
+  idleCpuRates: IdleCpuRates,
 ): Promise<Result[]> {
   const rows: Result[] = [];
-  for (const atOnce of REQUEST_SIZES) {
-    const cost = await measureCost(deployment, background, async () => {
+  for (const atOnce of REQUEST_CONCURRENCIES) {
+    const cost = await measureCpuCost(deployment, idleCpuRates, async () => {
       return runRequests(deployment, key, atOnce);
     });
     rows.push({
@@ -306,20 +335,21 @@
 async function measureEvents(
   deployment: Deployment,
   key: string,
-  background: Background,
+  idleCpuRates: IdleCpuRates,
 ): Promise<Result[]> {
   const rows: Result[] = [];
-  for (const streams of STREAM_SIZES) {
-    const open = new OpenStreams(streams);
-    await open.start(deployment, key);
-    const { events, reads } = open;
-    const cost = await measureCost(deployment, background, async () => {
-      await delay(EVENTS_MS);
-      return open.events - events;
+  for (const streams of STREAM_COUNTS) {
+    const openStreams = new OpenStreams(streams);
+    await openStreams.start(deployment, key);
+    const { eventCount: eventsBefore, readCount: readsBefore } = openStreams;
+    const cost = await measureCpuCost(deployment, idleCpuRates, async () => {
+      await delay(EVENT_MEASUREMENT_MS);
+      return openStreams.eventCount - eventsBefore;
     });
-    const eventsPerRead = (open.events - events) / (open.reads - reads);
-    open.assertOpen();
-    await open.waitEnded(deployment);
+    const eventsPerRead =
+      (openStreams.eventCount - eventsBefore) / (openStreams.readCount - readsBefore);
+    openStreams.assertOpen();
+    await openStreams.waitUntilEnded(deployment);
     rows.push({
       streams,
       perSecond: limitDigits(cost.count / cost.seconds, 0),
@@ -331,44 +361,45 @@
   return rows;
 }
 
-async function measureLoad(phases: ReadonlySet<Phase>): Promise<Result> {
+async function measureUnderLoad(measurements: ReadonlySet<Measurement>): Promise<Result> {
   return runDeployment(LOAD_PLAN, async (deployment, key) => {
-    const latency = phases.has('latency') ? await measureLatency(deployment, key) : {};
-    const background = await measureBackground(deployment);
-    const requests = phases.has('requests')
-      ? { requests: await measureRequests(deployment, key, background) }
+    const latency = measurements.has('latency') ? await measureLatency(deployment, key) : {};
+    const idleCpuRates = await measureIdleCpuRates(deployment);
+    const requests = measurements.has('requests')
+      ? { requests: await measureRequests(deployment, key, idleCpuRates) }
       : {};
-    const events = phases.has('events')
-      ? { events: await measureEvents(deployment, key, background) }
+    const events = measurements.has('events')
+      ? { events: await measureEvents(deployment, key, idleCpuRates) }
       : {};
     return {
       ...latency,
       ...requests,
       ...events,
-      entryPeakMb: limitDigits(readPeakMemoryMb(getPid(deployment, ENTRY)), 0),
-      sidecarPeakMb: limitDigits(readPeakMemoryMb(getPid(deployment, SIDECAR)), 0),
+      entryPeakMb: limitDigits(readPeakMemoryMb(getPid(deployment, ENTRY_NAME)), 0),
+      sidecarPeakMb: limitDigits(readPeakMemoryMb(getPid(deployment, SIDECAR_NAME)), 0),
     };
   });
 }
 
+/** Measures processor time, written bytes and memory of idle processes by role. */
 async function measureIdle(): Promise<Result> {
   return runDeployment(IDLE_PLAN, async (deployment) => {
-    await delay(SETTLE_MS);
+    await delay(SETTLE_DELAY_MS);
     const read = (name: string): { cpuMs: number; bytes: number } => {
       const pid = getPid(deployment, name);
       return { cpuMs: readCpuMs(pid), bytes: readWrittenBytes(pid) };
     };
     const names = Object.entries(IDLE_PROCESSES);
     const before = names.map(([, name]) => read(name));
-    await delay(IDLE_MS);
+    await delay(IDLE_MEASUREMENT_MS);
     const rows = names.map(([role, name], index) => {
       const { cpuMs, bytes } = read(name);
       const from = before[index] ?? { cpuMs, bytes };
       return [
         role,
         {
-          cpuPercent: limitDigits(((cpuMs - from.cpuMs) / IDLE_MS) * 100, 1),
-          bytesPerSecond: limitDigits(((bytes - from.bytes) / IDLE_MS) * 1_000, 0),
+          cpuPercent: limitDigits(((cpuMs - from.cpuMs) / IDLE_MEASUREMENT_MS) * 100, 1),
+          bytesPerSecond: limitDigits(((bytes - from.bytes) / IDLE_MEASUREMENT_MS) * 1_000, 0),
           residentMb: limitDigits(readMemoryMb(getPid(deployment, name)), 0),
         },
       ] as const;
@@ -390,18 +421,20 @@
   }
 }
 
-/** `--only requests,events` limits the run to some phases. */
-function readPhases(): ReadonlySet<Phase> {
+/** Parses the command line; `--only requests,events` limits the run to these measurements. */
+function readMeasurements(): ReadonlySet<Measurement> {
   const { values } = parseArgs({ options: { only: { type: 'string' } } });
-  const wanted = values.only?.split(',') ?? PHASES;
-  return new Set(PHASES.filter((phase) => wanted.includes(phase)));
+  const wanted = values.only?.split(',') ?? MEASUREMENTS;
+  return new Set(MEASUREMENTS.filter((measurement) => wanted.includes(measurement)));
 }
 
 async function main(): Promise<void> {
-  const phases = readPhases();
-  const needsLoad = PHASES.some((phase) => phase !== 'idle' && phases.has(phase));
-  const load = needsLoad ? await measureLoad(phases) : {};
-  const idle = phases.has('idle') ? { idle: await measureIdle() } : {};
+  const measurements = readMeasurements();
+  const needsLoad = MEASUREMENTS.some(
+    (measurement) => measurement !== 'idle' && measurements.has(measurement),
+  );
+  const load = needsLoad ? await measureUnderLoad(measurements) : {};
+  const idle = measurements.has('idle') ? { idle: await measureIdle() } : {};
   process.stdout.write(`${JSON.stringify({ ...load, ...idle })}\n`);
 }
 
