--- a/tools/build.mjs
+++ b/tools/build.mjs
@@ -1,5 +1,6 @@
-// Bundles the program and the tools into dist. With --executable it also makes dist/redwingwharf, a
-// single executable that needs no node_modules.
+// Bundles the program and the tools into dist. With --platform it bundles the platform adapter into
+// target instead. With --executable it also builds dist/redwingwharf, a single executable that
+// needs no node_modules.
 import { execFileSync } from 'node:child_process';
 import {
   chmodSync,
@@ -11,9 +12,11 @@
 } from 'node:fs';
 import { build } from 'esbuild';
 
-const SENTINEL = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
+// Marker in the Node.js binary that postject flips when it adds the application; fixed by Node.js.
+const SEA_SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 const version = JSON.parse(readFileSync('package.json', 'utf8')).version;
 
+// Pairs of source and bundle; sources that do not exist are skipped.
 const ENTRY_POINTS = [
   ['src/main.ts', 'dist/redwingwharf.cjs'],
   ['src/main.ts', 'dist/redwingwharf-test.cjs'],
@@ -28,6 +31,7 @@
   ['platform/soak/main.ts', 'dist/tools/fleetsoak.cjs'],
 ];
 
+// Bundles without TEST_ONLY code; all others contain it.
 const SHIPPED_BUNDLES = new Set(['dist/redwingwharf.cjs', 'target/redwingwharf-platform.cjs']);
 
 async function bundle(source, output) {
@@ -38,16 +42,17 @@
     platform: 'node',
     target: 'node20',
     format: 'cjs',
-    // ts-results needs its ES module build inside a bundle.
+    // Bundles need the ES module build of ts-results.
     mainFields: ['module', 'main'],
     define: { __VERSION__: JSON.stringify(version) },
     logLevel: 'warning',
-    // Switches that turn a mechanism off for the soak are compiled out of the product.
+    // Switches that disable a mechanism for the soak are compiled out of the shipped bundles.
     dropLabels: SHIPPED_BUNDLES.has(output) ? ['TEST_ONLY'] : [],
     minifySyntax: true,
   });
 }
 
+// Injects the bundle into a copy of the running Node.js binary.
 function makeExecutable() {
   const config = {
     main: 'dist/redwingwharf.cjs',
@@ -60,7 +65,13 @@
   chmodSync('dist/redwingwharf', 0o755);
   execFileSync(
     'node_modules/.bin/postject',
-    ['dist/redwingwharf', 'NODE_SEA_BLOB', 'dist/redwingwharf.blob', '--sentinel-fuse', SENTINEL],
+    [
+      'dist/redwingwharf',
+      'NODE_SEA_BLOB',
+      'dist/redwingwharf.blob',
+      '--sentinel-fuse',
+      SEA_SENTINEL_FUSE,
+    ],
     { stdio: 'pipe' },
   );
 }
--- a/tools/generate.mjs
+++ b/tools/generate.mjs
@@ -1,4 +1,5 @@
-// Generates src/gen from proto/ and schema/. With --check it fails when the committed code differs.
+// Generates src/gen from proto/ and schema/. With --check it writes to a temporary directory
+// instead and fails if the committed code differs.
 import { execFileSync } from 'node:child_process';
 import { mkdtempSync, readdirSync, readFileSync, rmSync, mkdirSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -7,10 +8,11 @@
 import standalone from 'ajv/dist/standalone/index.js';
 import { compile } from 'json-schema-to-typescript';
 
-const COMMITTED = 'src/gen';
+const COMMITTED_DIRECTORY = 'src/gen';
 const isCheck = process.argv.includes('--check');
-const output = isCheck ? mkdtempSync(join(tmpdir(), 'redwingwharf-gen-')) : COMMITTED;
+const output = isCheck ? mkdtempSync(join(tmpdir(), 'redwingwharf-gen-')) : COMMITTED_DIRECTORY;
 
+// Lists the files below a directory by relative path, sorted.
 function listFiles(folder) {
   return readdirSync(folder, { recursive: true, withFileTypes: true })
     .filter((entry) => entry.isFile())
@@ -18,6 +20,7 @@
     .sort();
 }
 
+// Generates the TypeScript types of a JSON schema, and the schema itself as a constant.
 async function generateSchema(name) {
   const schema = JSON.parse(readFileSync(`schema/${name}.schema.json`, 'utf8'));
   const banner = `// Generated from schema/${name}.schema.json. Do not edit.`;
@@ -30,7 +33,7 @@
   return `${types}\n/** JSON schema that the types above were generated from. */\nexport const ${constant} = ${literal};\n`;
 }
 
-// Generated validators keep ajv's compiler out of the running processes.
+// Generates the validator of a JSON schema, so that running processes do not need the compiler of ajv.
 function generateValidator(name) {
   const schema = JSON.parse(readFileSync(`schema/${name}.schema.json`, 'utf8'));
   const ajv = new Ajv({
@@ -44,11 +47,14 @@
     .default(ajv, ajv.compile(schema))
     .replace(/require\("ajv\/dist\/runtime\/(\w+)"\)\.default/g, (_call, helper) => {
       imports.add(`import ${helper} from 'ajv/dist/runtime/${helper}.js';`);
-      // Node gives the exports of the CommonJS module, vitest its default export.
+      // The import is the exports object of the CommonJS module in Node.js, but its default export
+      // in vitest.
       return `${helper}.default ?? ${helper}`;
     });
   if (code.includes('require(')) {
-    throw new Error(`the validator of ${name} requires a module outside ajv/dist/runtime`);
+    throw new Error(
+      `the validator of ${name} requires a module outside ajv/dist/runtime, only that directory is imported`,
+    );
   }
   return [
     `// Generated from schema/${name}.schema.json. Do not edit.`,
@@ -62,7 +68,7 @@
   stdio: 'inherit',
   env: { ...process.env, PATH: `${resolve('node_modules/.bin')}${delimiter}${process.env.PATH}` },
 });
-const target = isCheck ? join(output, COMMITTED) : COMMITTED;
+const target = isCheck ? join(output, COMMITTED_DIRECTORY) : COMMITTED_DIRECTORY;
 mkdirSync(target, { recursive: true });
 for (const name of ['settings', 'operator']) {
   writeFileSync(join(target, `${name}.ts`), await generateSchema(name));
@@ -70,12 +76,13 @@
 }
 if (isCheck) {
   const expected = listFiles(target);
-  const actual = listFiles(COMMITTED);
+  const actual = listFiles(COMMITTED_DIRECTORY);
   const differing = [...new Set([...expected, ...actual])].filter(
     (file) =>
       !expected.includes(file) ||
       !actual.includes(file) ||
-      readFileSync(join(target, file), 'utf8') !== readFileSync(join(COMMITTED, file), 'utf8'),
+      readFileSync(join(target, file), 'utf8') !==
+        readFileSync(join(COMMITTED_DIRECTORY, file), 'utf8'),
   );
   rmSync(output, { recursive: true });
   if (differing.length > 0) {
--- a/tools/model.mjs
+++ b/tools/model.mjs
@@ -1,7 +1,8 @@
-// Checks the Quint models in model/ by random simulation (docs/model.md). Each correct model must keep
-// its invariants; each broken variant must violate the named one, otherwise the check proves nothing.
-// With --quick it runs fewer samples, one broken variant for each invariant except the two internal ones
-// of the ledger, and no separate type check (quint run checks the types of the file that it runs).
+// Checks the Quint models in model/ by random simulation (docs/model.md). Each correct model must
+// keep its invariants and reach all witness states. Each broken variant must violate its invariant;
+// otherwise the check proves nothing, because it would not detect that fault. With --quick it runs
+// fewer samples, one broken variant for each invariant except the two internal ones of the ledger,
+// and no separate type check, because quint run checks the types of the file that it runs.
 import { spawn } from 'node:child_process';
 import { createRequire } from 'node:module';
 
@@ -19,7 +20,7 @@
       { module: 'claimsCorrect', seeds: [1, 2], samples: 120, quickSamples: 60 },
       { module: 'claimsCorrectTwoKeys', seeds: [3], samples: 100 },
     ],
-    // [module, invariant that it violates, seed, whether it belongs to the quick check]
+    // [module, invariant that it must violate, seed, whether --quick includes it]
     broken: [
       ['claimsNoTombstone', 'atMostOnce', 1, true],
       ['claimsAcceptOtherIncarnation', 'atMostOnce', 1, false],
@@ -72,9 +73,10 @@
   },
 ];
 
-// Upper bound of samples for a broken variant; nearly all are found within a few dozen.
-const BROKEN_SAMPLES = 1500;
+// Limit of samples for a broken variant; nearly all violations are found within a few dozen.
+const MAX_BROKEN_SAMPLES = 1500;
 
+// Runs the Quint command line; returns its exit code and its output, standard error included.
 function runQuint(args) {
   return new Promise((resolve, reject) => {
     const child = spawn(process.execPath, [QUINT, ...args], { stdio: ['ignore', 'pipe', 'pipe'] });
@@ -94,7 +96,7 @@
   return { run: { kind: 'typecheck', file: model.file, ok: isOk }, detail: isOk ? '' : output };
 }
 
-// Reads the number of samples in which each witness was reached.
+// Returns the number of samples that reached each witness state.
 function parseWitnesses(output, names) {
   return Object.fromEntries(
     names.map((name) => {
@@ -121,6 +123,7 @@
   return { result: 'error', reached: {}, output };
 }
 
+// Passes if no invariant is violated and each witness state is reached.
 async function checkCorrect(model, run) {
   const { result, reached, output } = await simulate(model, run, model.witnesses);
   const missing = model.witnesses.filter((name) => reached[name] === 0);
@@ -131,6 +134,7 @@
   return { run: { ...run, kind: 'correct', result, reached, ok: detail === '' }, detail };
 }
 
+// Passes if the expected invariant is violated.
 async function checkBroken(model, run) {
   const { result, output } = await simulate(model, run, []);
   const isOk = result === 'violation';
@@ -149,11 +153,11 @@
   );
 }
 
-function listShortRuns(model) {
+function listTypeCheckAndBrokenRuns(model) {
   const { file, steps, broken } = model;
   const chosen = isQuick ? broken.filter(([, , , isInQuick]) => isInQuick) : broken;
   const runs = chosen.map(([module, invariant, seed]) => {
-    const run = { file, module, invariant, seed, samples: BROKEN_SAMPLES, steps };
+    const run = { file, module, invariant, seed, samples: MAX_BROKEN_SAMPLES, steps };
     return () => checkBroken(model, run);
   });
   return isQuick ? runs : [() => checkTypes(model), ...runs];
@@ -168,12 +172,16 @@
   return `${verdict} ${run.kind} ${run.module} ${run.invariant}: ${run.result} (${bounds}, ${seconds} s)`;
 }
 
-// The runs of the correct models take longest, so they start first.
-const queue = [...MODELS.flatMap(listCorrectRuns), ...MODELS.flatMap(listShortRuns)];
+// The runs of the correct models take longest and start first, so that they don't prolong the check.
+const pendingTasks = [
+  ...MODELS.flatMap(listCorrectRuns),
+  ...MODELS.flatMap(listTypeCheckAndBrokenRuns),
+];
 const runs = [];
 
+// Takes tasks until none is left; several workers run at the same time.
 async function runWorker() {
-  for (let task = queue.shift(); task !== undefined; task = queue.shift()) {
+  for (let task = pendingTasks.shift(); task !== undefined; task = pendingTasks.shift()) {
     const startedAt = performance.now();
     const { run, detail } = await task();
     const seconds = ((performance.now() - startedAt) / 1_000).toFixed(1);
