--- a/fakes/Engine.ts
+++ b/fakes/Engine.ts
@@ -21,7 +21,7 @@
   readonly weightsVersion: string;
   readonly prefillTokensPerSecond: number;
   /** Time between two generated tokens. */
-  readonly decodeMs: number;
+  readonly tokenIntervalMs: number;
   /** Requests that run at the same time; others wait in the queue. */
   readonly maxRunning: number;
   /** `ignore`: the engine also accepts orders with an old fencing number. */
@@ -227,7 +227,7 @@
     const tokens = countOutputTokens(request);
     for (let index = 0; index < tokens && !stream.isCancelled; index++) {
       stream.push(this._formatChunk(request, `t${index} `));
-      await delay(this._options.decodeMs);
+      await delay(this._options.tokenIntervalMs);
       abandonedAt = stream.readerCount > 0 ? undefined : (abandonedAt ?? performance.now());
       if (abandonedAt !== undefined && performance.now() - abandonedAt > RESUME_TIMEOUT_MS) {
         stream.cancel();
--- a/fakes/EngineCache.ts
+++ b/fakes/EngineCache.ts
@@ -24,7 +24,7 @@
   /** Time between a change of the cache and its event. */
   readonly eventDelayMs: number;
   /** Fraction of the events that are never published. */
-  readonly eventLoss: number;
+  readonly eventLossRatio: number;
 }
 
 /** Computes a hash chain over the complete chunks of the prompt, seeded with the cache salt. */
@@ -151,7 +151,7 @@
 
   private _addEvent(type: ICacheEvent['type'], hash: string, now: number): void {
     const seq = this._nextSeq++;
-    if (Math.random() < this._options.eventLoss) {
+    if (Math.random() < this._options.eventLossRatio) {
       return;
     }
     this._events.push({ seq, type, hash, visibleAt: now + this._options.eventDelayMs });
--- a/fakes/main.ts
+++ b/fakes/main.ts
@@ -57,7 +57,7 @@
     model: values.model,
     weightsVersion: values.weights,
     prefillTokensPerSecond: Number(values['prefill-tps']),
-    decodeMs: Number(values['decode-ms']),
+    tokenIntervalMs: Number(values['decode-ms']),
     maxRunning: Number(values['max-running']),
     fencing: values.fencing === 'ignore' ? 'ignore' : 'strict',
     loadLagMs: Number(values['load-lag-ms']),
@@ -69,7 +69,7 @@
       capacityChunks: Number(values.chunks),
       idleEvictionMs: Number(values['evict-ms']),
       eventDelayMs: Number(values['event-delay-ms']),
-      eventLoss: Number(values['event-loss']),
+      eventLossRatio: Number(values['event-loss']),
     },
   });
 }
--- a/src/admission/AccountWallet.ts
+++ b/src/admission/AccountWallet.ts
@@ -1,7 +1,7 @@
 /** Holds the tokens of one client account that this entry may spend. */
 import type { MessageInitShape } from '@bufbuild/protobuf';
 import type { IDisposable } from '../common/Lifecycle.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type {
   Grant,
   GrantReportSchema,
@@ -158,7 +158,7 @@
   /** Adds the grant from the answer to an exchange that was first sent at `sentAt`. */
   public addGrant(grant: Grant, sentAt: number): void {
     let leaseEndsAt = sentAt + GRANT_LEASE_MS;
-    TEST_ONLY: if (isBroken('grant-lease')) leaseEndsAt = Infinity;
+    TEST_ONLY: if (isMechanismDisabled('grant-lease')) leaseEndsAt = Infinity;
     this._answeredExchangeSentAt = sentAt;
     this._retryAfterMs = grant.retryAfterMs === 0 ? DEFAULT_RETRY_AFTER_MS : grant.retryAfterMs;
     if (grant.tokens > 0) {
--- a/src/admission/DispatchQueue.test.ts
+++ b/src/admission/DispatchQueue.test.ts
@@ -29,7 +29,7 @@
   constructor(options: Partial<IDispatchQueueOptions> = {}) {
     const listLoads = (): IReportedLoad[] =>
       this.loads.map((load, index) => ({ target: `${index}`, load }));
-    this.queue = new DispatchQueue(this.clock, { listLoads, maxPerTarget: 1, ...options });
+    this.queue = new DispatchQueue(this.clock, { listLoads, maxRequestsPerTarget: 1, ...options });
   }
 
   public enter(account: string, fields: Partial<IDispatchRequest> = {}): AbortController {
@@ -37,7 +37,7 @@
     this._count += 1;
     const request = { service: 'lace', requestId: `${this._count}`, clientAccount: account };
     const sizes = { weight: 1, cost: 1, priority: 0, deadlineMs: this.clock.time + 60_000 };
-    void this.queue.enter({ ...request, ...sizes, ...fields }, caller.signal).then((result) => {
+    void this.queue.acquire({ ...request, ...sizes, ...fields }, caller.signal).then((result) => {
       if (result.ok) {
         this.admitted.push(account);
         this.permits.push(result.val);
@@ -52,7 +52,7 @@
   public async report(...loads: number[]): Promise<void> {
     this.loads = loads;
     for (const target of ['0', '1', '2', '3']) {
-      this.queue.refresh('lace', target, Number(target) >= loads.length);
+      this.queue.handleTargetReport('lace', target, Number(target) >= loads.length);
     }
     await this.flushPromises();
   }
@@ -89,7 +89,7 @@
     }
     await harness.flushPromises();
     expect(harness.refused).toEqual(['overloaded', 'overloaded']);
-    expect(harness.queue.waiting).toBe(2);
+    expect(harness.queue.waitingCount).toBe(2);
   });
 
   it('refuses a request whose deadline passes while it waits', async () => {
@@ -99,7 +99,7 @@
     await harness.flushPromises();
     harness.clock.time += 21;
     await harness.report(0);
-    expect([harness.refused, harness.queue.waiting]).toEqual([['overloaded'], 0]);
+    expect([harness.refused, harness.queue.waitingCount]).toEqual([['overloaded'], 0]);
   });
 
   it('removes a request whose caller disconnects, so that no permit leaks', async () => {
@@ -113,7 +113,7 @@
   });
 
   it('subtracts the load of other entries from its bound, but not its own reported load', async () => {
-    const harness = new QueueHarness({ maxPerTarget: 10 });
+    const harness = new QueueHarness({ maxRequestsPerTarget: 10 });
     await harness.report(9, 8);
     for (let count = 0; count < 30; count++) {
       harness.enter('pag');
@@ -144,7 +144,7 @@
     );
     await fc.assert(
       fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
-        const harness = new QueueHarness({ maxPerTarget: 2 });
+        const harness = new QueueHarness({ maxRequestsPerTarget: 2 });
         const callers: AbortController[] = [];
         let enteredCount = 0;
         let maxTargets = 1;
@@ -164,14 +164,14 @@
             harness.clock.time += at * 100;
           }
           await harness.flushPromises();
-          expect(harness.queue.inProgress).toBeLessThanOrEqual(2 * maxTargets);
-          const isFull = harness.queue.inProgress >= 2 * harness.loads.length;
-          expect(harness.queue.waiting === 0 || isFull).toBe(true);
+          expect(harness.queue.inProgressCount).toBeLessThanOrEqual(2 * maxTargets);
+          const isFull = harness.queue.inProgressCount >= 2 * harness.loads.length;
+          expect(harness.queue.waitingCount === 0 || isFull).toBe(true);
         }
         while (harness.permits.length > 0) {
           await harness.releaseOne();
         }
-        expect([harness.queue.waiting, harness.queue.inProgress]).toEqual([0, 0]);
+        expect([harness.queue.waitingCount, harness.queue.inProgressCount]).toEqual([0, 0]);
         expect(harness.admitted.length + harness.refused.length).toBe(enteredCount);
       }),
       { numRuns: 200, seed: 20_261_204 },
--- a/src/admission/DispatchQueue.ts
+++ b/src/admission/DispatchQueue.ts
@@ -36,7 +36,7 @@
 export interface IDispatchQueueOptions {
   /** Lists the reported loads of the service's targets. */
   readonly listLoads: (service: string, now: number) => readonly IReportedLoad[];
-  readonly maxPerTarget?: number;
+  readonly maxRequestsPerTarget?: number;
   readonly limits?: Partial<IFairQueueLimits>;
 }
 
@@ -80,12 +80,12 @@
   ) {}
 
   /** Number of waiting requests, over all services. */
-  public get waiting(): number {
+  public get waitingCount(): number {
     return [...this._services.values()].reduce((sum, { queue }) => sum + queue.size, 0);
   }
 
   /** Number of permits in use, over all services. */
-  public get inProgress(): number {
+  public get inProgressCount(): number {
     return [...this._services.values()].reduce((sum, state) => sum + state.inProgress, 0);
   }
 
@@ -93,7 +93,7 @@
    * Waits for a permit, which the caller disposes of after the dispatch. Refuses at once when the queue
    * is full or the request is expected to miss its deadline.
    */
-  public async enter(
+  public async acquire(
     request: IDispatchRequest,
     signal: AbortSignal,
   ): Promise<Result<IDisposable, QueueFailure>> {
@@ -109,7 +109,7 @@
   }
 
   /** Records that a target of the service has reported or is gone, and serves waiting requests. */
-  public refresh(service: string, target: string, isGone = false): void {
+  public handleTargetReport(service: string, target: string, isGone = false): void {
     const state = this._ensureService(service);
     if (isGone) {
       state.reports.delete(target);
@@ -205,7 +205,7 @@
     if (state.targetCount === 0) {
       return Infinity;
     }
-    const maxPerTarget = this._options.maxPerTarget ?? MAX_REQUESTS_PER_TARGET;
+    const maxPerTarget = this._options.maxRequestsPerTarget ?? MAX_REQUESTS_PER_TARGET;
     const minPerTarget = Math.min(MIN_REQUESTS_PER_TARGET, maxPerTarget);
     return Math.max(
       state.targetCount * minPerTarget,
--- a/src/cli/Commands.test.ts
+++ b/src/cli/Commands.test.ts
@@ -9,7 +9,7 @@
 import { parseCallerKey, verifyCallerKey } from '../common/CallerKeys.js';
 import { encodeHex } from '../common/Hashes.js';
 import { Err, Ok } from '../common/Result.js';
-import { createRpcHandler, hasClusterSecret, refuseForeignRequest } from '../common/Rpc.js';
+import { createRpcHandler, hasClusterSecret, refuseUnauthenticatedRequest } from '../common/Rpc.js';
 import {
   ControlService,
   FeedService,
@@ -91,7 +91,7 @@
     });
     const server = createServer((request, response) => {
       if (!hasClusterSecret(request, SECRET)) {
-        refuseForeignRequest(response);
+        refuseUnauthenticatedRequest(response);
         return;
       }
       if (request.url?.endsWith('/Execute') === true && this.lostAnswers > 0) {
--- a/src/cli/ControlAccess.ts
+++ b/src/cli/ControlAccess.ts
@@ -3,7 +3,7 @@
 import { SILENT_LOG } from '../common/Log.js';
 import { Err, Ok, type Result } from '../common/Result.js';
 import { RpcClients } from '../common/Rpc.js';
-import { addJitter, isAborted, limitSignal, sleep } from '../common/Tasks.js';
+import { addJitter, isAborted, deriveTimeoutSignal, sleep } from '../common/Tasks.js';
 import {
   ControlClient,
   describeCallError,
@@ -155,7 +155,7 @@
    * time limit of the command; a wrong cluster secret fails at once.
    */
   public async readItems(signal: AbortSignal): Promise<Result<IItemsCopy, ControlFailure>> {
-    const limitedSignal = limitSignal(signal, this._timeoutMs);
+    const limitedSignal = deriveTimeoutSignal(signal, this._timeoutMs);
     let previousFailure: ControlFailure | undefined;
     for (;;) {
       const members = await fetchMemberStatus(this._clients, this._addresses, limitedSignal);
--- a/src/cli/Types.ts
+++ b/src/cli/Types.ts
@@ -24,7 +24,7 @@
 }
 
 /** Runs the roles of a process until the signal is aborted; returns the exit code. */
-export interface IRunner {
+export interface IRoleRunner {
   run(settings: ILoadedSettings, signal: AbortSignal): Promise<number>;
 }
 
@@ -32,7 +32,7 @@
 export type InitFailure = IFailure<'not_empty' | 'unwritable' | 'no_control_role'>;
 
 /** Initialises the data directory of the first control member of a new cluster; returns the cluster id. */
-export interface IInitialiser {
+export interface IDataDirectoryInitialiser {
   init(settings: ILoadedSettings): Promise<Result<string, InitFailure>>;
 }
 
@@ -40,8 +40,8 @@
 export interface ICommandContext {
   readonly output: IOutput;
   readonly signal: AbortSignal;
-  readonly runner: IRunner;
-  readonly initialiser: IInitialiser;
+  readonly runner: IRoleRunner;
+  readonly initialiser: IDataDirectoryInitialiser;
 }
 
 /**
--- a/src/cli/commands/Drain.ts
+++ b/src/cli/commands/Drain.ts
@@ -1,6 +1,6 @@
 /** Command `drain`: takes entries or targets out of service without interrupting requests. */
 import type { RpcClients } from '../../common/Rpc.js';
-import { limitSignal } from '../../common/Tasks.js';
+import { deriveTimeoutSignal } from '../../common/Tasks.js';
 import { RosterService, SidecarService } from '../../gen/redwingwharf/v1/control_pb.js';
 import { describeReadError, getTimeoutMs, useClients } from '../ControlAccess.js';
 import { getControlExitCode, printResult, renderTable, reportFailure } from '../Report.js';
@@ -38,7 +38,7 @@
     return EXIT_CODE.usage;
   }
   return useClients(input, context, async (clients) => {
-    const signal = limitSignal(context.signal, getTimeoutMs(input));
+    const signal = deriveTimeoutSignal(context.signal, getTimeoutMs(input));
     let exitCode: number = EXIT_CODE.ok;
     const drained: (IDrainTask & { readonly openRequests: number })[] = [];
     for (const task of tasks) {
--- a/src/cli/commands/Explain.ts
+++ b/src/cli/commands/Explain.ts
@@ -1,5 +1,5 @@
 /** Command `explain`: shows the decision records of one request. */
-import { limitSignal } from '../../common/Tasks.js';
+import { deriveTimeoutSignal } from '../../common/Tasks.js';
 import { RosterService } from '../../gen/redwingwharf/v1/control_pb.js';
 import { describeReadError, getTimeoutMs, useClients } from '../ControlAccess.js';
 import { printResult, reportFailure } from '../Report.js';
@@ -25,7 +25,7 @@
 ): Promise<number> {
   const requestId = input.positionals[0] ?? '';
   return useClients(input, context, async (clients) => {
-    const signal = limitSignal(context.signal, getTimeoutMs(input));
+    const signal = deriveTimeoutSignal(context.signal, getTimeoutMs(input));
     let unansweredCount = 0;
     const fetchOne = async (entry: string): Promise<IEntryRecords> => {
       try {
--- a/src/cli/commands/Status.ts
+++ b/src/cli/commands/Status.ts
@@ -17,7 +17,7 @@
 } from '../ControlAccess.js';
 import { printResult, renderTable } from '../Report.js';
 import { EXIT_CODE, type ICommandContext, type ICommandInput } from '../Types.js';
-import { limitSignal } from '../../common/Tasks.js';
+import { deriveTimeoutSignal } from '../../common/Tasks.js';
 
 const MEMBER_HEADER = [
   'CONTROL',
@@ -206,7 +206,7 @@
 /** Prints one row for every given address; a process that does not answer is shown with the reason. */
 export async function showStatus(input: ICommandInput, context: ICommandContext): Promise<number> {
   return useClients(input, context, async (clients) => {
-    const signal = limitSignal(context.signal, getTimeoutMs(input));
+    const signal = deriveTimeoutSignal(context.signal, getTimeoutMs(input));
     const [members, entries] = await Promise.all([
       fetchMemberStatus(clients, input.getList('control'), signal),
       fetchEntryStatus(clients, input.getList('entries'), signal),
--- a/src/common/ConnectErrors.test.ts
+++ b/src/common/ConnectErrors.test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import { Client } from 'undici';
 import { afterEach, describe, expect, it } from 'vitest';
-import { isNeverConnected } from './ConnectErrors.js';
+import { isConnectFailure } from './ConnectErrors.js';
 
 async function callPort(port: number): Promise<unknown> {
   const client = new Client(`http://127.0.0.1:${port}`);
@@ -29,15 +29,15 @@
     server.listen(0, '127.0.0.1');
     await once(server, 'listening');
     const { port } = server.address() as AddressInfo;
-    expect(isNeverConnected(await callPort(port))).toBe(false);
+    expect(isConnectFailure(await callPort(port))).toBe(false);
     server.close();
     await once(server, 'close');
-    expect(isNeverConnected(await callPort(port))).toBe(true);
+    expect(isConnectFailure(await callPort(port))).toBe(true);
   });
 
   it('finds the error code in the cause of a wrapped error', () => {
     const cause = Object.assign(new Error('refused'), { code: 'ECONNREFUSED' });
-    expect(isNeverConnected(new Error('call failed', { cause }))).toBe(true);
-    expect(isNeverConnected(Object.assign(new Error('reset'), { code: 'ECONNRESET' }))).toBe(false);
+    expect(isConnectFailure(new Error('call failed', { cause }))).toBe(true);
+    expect(isConnectFailure(Object.assign(new Error('reset'), { code: 'ECONNRESET' }))).toBe(false);
   });
 });
--- a/src/common/ConnectErrors.ts
+++ b/src/common/ConnectErrors.ts
@@ -16,7 +16,7 @@
  * @example
  * if (isNeverConnected(error)) return { kind: 'not_run' };
  */
-export function isNeverConnected(error: unknown): boolean {
+export function isConnectFailure(error: unknown): boolean {
   let current: unknown = error;
   while (current instanceof Error) {
     if ('code' in current && NOT_CONNECTED_CODES.has(current.code)) {
--- a/src/common/Rpc.ts
+++ b/src/common/Rpc.ts
@@ -76,7 +76,7 @@
 }
 
 /** Answers 403 to a request without the secret of the deployment. */
-export function refuseForeignRequest(response: ServerResponse): void {
+export function refuseUnauthenticatedRequest(response: ServerResponse): void {
   response.writeHead(403, { 'content-type': 'text/plain' });
   response.end('The cluster secret is missing or wrong; check clusterSecretFile.\n');
 }
--- a/src/common/Tasks.test.ts
+++ b/src/common/Tasks.test.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { describe, expect, it } from 'vitest';
-import { limitSignal, runPeriodically, runWithLimit, sleep } from './Tasks.js';
+import { deriveTimeoutSignal, runPeriodically, runWithTimeout, sleep } from './Tasks.js';
 
 const SLEEP_MS = 10_000;
 
@@ -45,7 +45,7 @@
     setFlagsFromString('--expose-gc');
     const collectGarbage = runInNewContext('gc') as () => void;
     const parent = new AbortController();
-    const signals = Array.from({ length: 20 }, () => limitSignal(parent.signal, 100));
+    const signals = Array.from({ length: 20 }, () => deriveTimeoutSignal(parent.signal, 100));
     collectGarbage();
     await sleep(20, parent.signal);
     collectGarbage();
@@ -55,7 +55,7 @@
 
   it('removes its listener from the parent, so that a parent that lives as long as the process does not accumulate them', async () => {
     const parent = new AbortController();
-    const signals = Array.from({ length: 5 }, () => limitSignal(parent.signal, 1));
+    const signals = Array.from({ length: 5 }, () => deriveTimeoutSignal(parent.signal, 1));
     await Promise.all(signals.map((signal) => sleep(5_000, signal)));
     expect(getEventListeners(parent.signal, 'abort')).toHaveLength(0);
   });
@@ -63,11 +63,11 @@
   it('is aborted at once when its parent already is, so that no call starts after a stop', () => {
     const parent = new AbortController();
     parent.abort();
-    expect(limitSignal(parent.signal, 60_000).aborted).toBe(true);
+    expect(deriveTimeoutSignal(parent.signal, 60_000).aborted).toBe(true);
   });
 
   it('accepts a fractional number of milliseconds, such as the remaining time of a deadline', async () => {
-    const signal = limitSignal(new AbortController().signal, 0.5);
+    const signal = deriveTimeoutSignal(new AbortController().signal, 0.5);
     await sleep(5_000, signal);
     expect(signal.aborted).toBe(true);
   });
@@ -80,7 +80,7 @@
     const parent = new AbortController();
     const startedAt = performance.now();
     const calls = Array.from({ length: 100 }, () =>
-      runWithLimit(parent.signal, 100, (signal) => sleep(SLEEP_MS, signal)),
+      runWithTimeout(parent.signal, 100, (signal) => sleep(SLEEP_MS, signal)),
     );
     for (let n = 0; n < 5; n += 1) {
       collect();
@@ -93,10 +93,10 @@
   it('aborts with its parent, and at once when the parent is already aborted', async () => {
     const parent = new AbortController();
     const startedAt = performance.now();
-    const call = runWithLimit(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
+    const call = runWithTimeout(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
     parent.abort();
     await call;
-    await runWithLimit(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
+    await runWithTimeout(parent.signal, SLEEP_MS, (signal) => sleep(SLEEP_MS, signal));
     expect(performance.now() - startedAt).toBeLessThan(SLEEP_MS);
   });
 });
--- a/src/common/Tasks.ts
+++ b/src/common/Tasks.ts
@@ -46,7 +46,7 @@
  * after a call has returned. Its listener stays at the parent until then; `runWithLimit` removes its own
  * as soon as the call ends.
  */
-export function limitSignal(parent: AbortSignal, ms: number): AbortSignal {
+export function deriveTimeoutSignal(parent: AbortSignal, ms: number): AbortSignal {
   const controller = new AbortController();
   const abort = (): void => {
     clearTimeout(timer);
@@ -70,7 +70,7 @@
  * @example
  * const reply = await runWithLimit(signal, 600, (limited) => transport.join(address, request, limited));
  */
-export async function runWithLimit<T>(
+export async function runWithTimeout<T>(
   parent: AbortSignal,
   ms: number,
   call: (signal: AbortSignal) => Promise<T>,
--- a/src/common/TestSwitches.ts
+++ b/src/common/TestSwitches.ts
@@ -11,7 +11,7 @@
 } from '../gen/redwingwharf/v1/state_pb.js';
 
 /** True when the process runs the test bundle and the environment disables this mechanism. */
-export function isBroken(mechanism: string): boolean {
+export function isMechanismDisabled(mechanism: string): boolean {
   return process.env.REDWINGWHARF_BREAK === mechanism;
 }
 
--- a/src/consensus/ConsensusStore.ts
+++ b/src/consensus/ConsensusStore.ts
@@ -56,7 +56,7 @@
 };
 
 /** Bootstraps a new group in an empty data directory, with this member as its only voter. */
-export async function initialiseStore(
+export async function bootstrapStore(
   directory: IDataDirectory,
   memberId: string,
   address: string,
--- a/src/consensus/Elections.ts
+++ b/src/consensus/Elections.ts
@@ -1,6 +1,6 @@
 /** Leader election: campaigns when there is no leader, and answers vote requests of other members. */
 import { create } from '@bufbuild/protobuf';
-import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import {
   VoteRequestSchema,
   VoteResponseSchema,
@@ -169,7 +169,7 @@
   ): Promise<boolean> {
     try {
       const timeoutMs = Math.min(this._timings.callTimeoutMs, this._timings.minElectionTimeoutMs);
-      const response = await runWithLimit(signal, timeoutMs, (limited) =>
+      const response = await runWithTimeout(signal, timeoutMs, (limited) =>
         this._transport.requestVote(voter.address, request, limited),
       );
       if (!this._state.isExpectedResponse(response.sender, getMemberIdentity(voter))) {
--- a/src/consensus/SoloLog.ts
+++ b/src/consensus/InMemoryLog.ts
@@ -14,7 +14,7 @@
 } from './Types.js';
 
 /** Applies each command immediately. Nothing is stored on disk. */
-export class SoloLog implements IReplicatedLog {
+export class InMemoryLog implements IReplicatedLog {
   private readonly _roleEmitter = new Emitter<IConsensusStatus>();
   private readonly _diskId = generateIdentifier();
   private readonly _clusterId = generateIdentifier();
--- a/src/consensus/Leadership.ts
+++ b/src/consensus/Leadership.ts
@@ -5,7 +5,7 @@
 import { create } from '@bufbuild/protobuf';
 import { crc32 } from 'node:zlib';
 import { Err, type Result } from '../common/Result.js';
-import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import {
   AppendRequestSchema,
   LogEntrySchema,
@@ -218,7 +218,7 @@
         return await this._sendSnapshot(peer, signal);
       }
       const request = this._createAppendRequest(peer.nextIndex, previousTerm);
-      const response = await runWithLimit(signal, this._timings.callTimeoutMs, (limited) =>
+      const response = await runWithTimeout(signal, this._timings.callTimeoutMs, (limited) =>
         this._transport.appendEntries(peer.member.address, request, limited),
       );
       return await this._handleAppendResponse(peer, request, response, startedAt);
@@ -300,7 +300,7 @@
     do {
       const startedAt = this._state.clock.now();
       const request = this._createSnapshotRequest(file, offset);
-      const response = await runWithLimit(signal, this._timings.callTimeoutMs, (limited) =>
+      const response = await runWithTimeout(signal, this._timings.callTimeoutMs, (limited) =>
         this._transport.installSnapshot(peer.member.address, request, limited),
       );
       if (!(await this._acceptResponse(peer, response.sender, startedAt))) {
--- a/src/consensus/MembershipChanges.ts
+++ b/src/consensus/MembershipChanges.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
-import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import {
   JoinResponseSchema,
   type JoinRequest,
@@ -58,7 +58,7 @@
     if (leadership === undefined) {
       return this._respond('This member does not lead; ask the leader.');
     }
-    const result = await runWithLimit(signal, this._timings.joinTimeoutMs, (limited) =>
+    const result = await runWithTimeout(signal, this._timings.joinTimeoutMs, (limited) =>
       this._mutex.run(() => this._admit(leadership, request, limited)),
     );
     return this._respond(result.ok ? undefined : result.val.message);
@@ -288,7 +288,8 @@
       const identity = getMemberIdentity(voter);
       const confirmedAt = leadership.getMemberConfirmedAt(identity) ?? now;
       return (
-        !isSameMember(identity, this._state.identity) && now - confirmedAt > policy.lostVoterMs
+        !isSameMember(identity, this._state.identity) &&
+        now - confirmedAt > policy.lostVoterTimeoutMs
       );
     });
   }
--- a/src/consensus/ReplicatedLog.test.ts
+++ b/src/consensus/ReplicatedLog.test.ts
@@ -177,7 +177,7 @@
   });
 
   it('replaces a lost voter by a new member, and makes it a voter again when it returns', async () => {
-    const policy = { lostVoterMs: 1_000, minVoters: 3, maxVoters: 3 };
+    const policy = { lostVoterTimeoutMs: 1_000, minVoters: 3, maxVoters: 3 };
     const group = await TestCluster.create(3, 1, TEST_TIMINGS, undefined, policy);
     cluster = group;
     const names = await commitMany(cluster, 'before', 5);
@@ -202,7 +202,7 @@
   });
 
   it('removes a lost voter while three others remain, so that the group tolerates the next loss', async () => {
-    const policy = { lostVoterMs: 1_000, minVoters: 3, maxVoters: 7 };
+    const policy = { lostVoterTimeoutMs: 1_000, minVoters: 3, maxVoters: 7 };
     const group = await TestCluster.create(4, 1, TEST_TIMINGS, undefined, policy);
     cluster = group;
     const leader = await group.waitForLeader();
--- a/src/consensus/ReplicatedLog.ts
+++ b/src/consensus/ReplicatedLog.ts
@@ -6,7 +6,7 @@
 import type { IEvent } from '../common/Lifecycle.js';
 import { describeError, type ILog } from '../common/Log.js';
 import { Err, Ok, type Result } from '../common/Result.js';
-import { addJitter, isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { addJitter, isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import {
   JoinRequestSchema,
   type AppendRequest,
@@ -20,7 +20,7 @@
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { DataDirectory, type IDataDirectory } from '../storage/DataDirectory.js';
 import { StorageError } from '../storage/StorageError.js';
-import { ConsensusStore, initialiseStore, type IGroupIdentity } from './ConsensusStore.js';
+import { ConsensusStore, bootstrapStore, type IGroupIdentity } from './ConsensusStore.js';
 import { Elections } from './Elections.js';
 import { Follower } from './Follower.js';
 import { Leadership } from './Leadership.js';
@@ -75,7 +75,7 @@
  * @example
  * const founded = await initialiseDataFolder('/data', 'control-1', '10.0.0.1:7000');
  */
-export async function initialiseDataFolder(
+export async function bootstrapDataDirectory(
   path: string,
   memberId: string,
   address: string,
@@ -84,7 +84,7 @@
   return tryStorageOperation(async () => {
     const directory = await DataDirectory.open(path, skipsLock);
     try {
-      return await initialiseStore(directory, memberId, address);
+      return await bootstrapStore(directory, memberId, address);
     } finally {
       await directory.close();
     }
@@ -301,7 +301,7 @@
     const { policy, clock } = this._options;
     const { role, lastContactAt } = this._state;
     const silentMs = clock.now() - lastContactAt;
-    return policy !== undefined && role !== 'leader' && silentMs > policy.lostVoterMs;
+    return policy !== undefined && role !== 'leader' && silentMs > policy.lostVoterTimeoutMs;
   }
 
   private _listJoinAddresses(leaderAddress: string | undefined): string[] {
@@ -325,7 +325,7 @@
       clusterId: this._store.clusterId,
     });
     try {
-      const response = await runWithLimit(signal, timings.joinTimeoutMs, (limited) =>
+      const response = await runWithTimeout(signal, timings.joinTimeoutMs, (limited) =>
         transport.join(address, request, limited),
       );
       if (response.accepted) {
--- a/src/consensus/TestCluster.ts
+++ b/src/consensus/TestCluster.ts
@@ -17,7 +17,7 @@
   VoteResponseSchema,
 } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { DataDirectory } from '../storage/DataDirectory.js';
-import { initialiseDataFolder, ReplicatedLog, type IConsensusHandlers } from './ReplicatedLog.js';
+import { bootstrapDataDirectory, ReplicatedLog, type IConsensusHandlers } from './ReplicatedLog.js';
 import { formatMemberIdentity } from './Memberships.js';
 import type { IConsensusTimings } from './Timings.js';
 import type { IConsensusTransport } from './Transport.js';
@@ -233,7 +233,7 @@
   ): Promise<TestCluster> {
     const root = await mkdtemp(join(tmpdir(), 'redwingwharf-consensus-'));
     const cluster = new TestCluster(root, createRandom(seed), timings, createMachine, policy);
-    const founded = await initialiseDataFolder(cluster.getPath('m1'), 'm1', 'node-1');
+    const founded = await bootstrapDataDirectory(cluster.getPath('m1'), 'm1', 'node-1');
     founded.unwrap();
     for (let n = 1; n <= size; n += 1) {
       await cluster.startMember(`m${n}`);
--- a/src/consensus/Transport.test.ts
+++ b/src/consensus/Transport.test.ts
@@ -9,7 +9,7 @@
 import { createRpcHandler, RpcClients } from '../common/Rpc.js';
 import { ConsensusService } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { DataDirectory } from '../storage/DataDirectory.js';
-import { initialiseDataFolder, ReplicatedLog, type IConsensusHandlers } from './ReplicatedLog.js';
+import { bootstrapDataDirectory, ReplicatedLog, type IConsensusHandlers } from './ReplicatedLog.js';
 import { ListMachine, TEST_TIMINGS, waitUntil } from './TestCluster.js';
 import { RpcConsensusTransport } from './Transport.js';
 
@@ -62,7 +62,7 @@
     return running.log.handlers;
   });
   if (isFounder) {
-    (await initialiseDataFolder(join(root, id), id, address)).unwrap();
+    (await bootstrapDataDirectory(join(root, id), id, address)).unwrap();
   }
   const clients = new RpcClients('secret');
   cleanups.push(() => {
--- a/src/control/ControlClient.test.ts
+++ b/src/control/ControlClient.test.ts
@@ -6,7 +6,7 @@
 import {
   createRpcHandler,
   hasClusterSecret,
-  refuseForeignRequest,
+  refuseUnauthenticatedRequest,
   RpcClients,
 } from '../common/Rpc.js';
 import {
@@ -49,7 +49,7 @@
   });
   const server = createServer((request, response) => {
     if (!hasClusterSecret(request, SECRET)) {
-      refuseForeignRequest(response);
+      refuseUnauthenticatedRequest(response);
       return;
     }
     member.calls += 1;
--- a/src/control/ControlClient.ts
+++ b/src/control/ControlClient.ts
@@ -1,7 +1,7 @@
 /** Client of the control members: runs commands on their leader. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import type { MessageInitShape } from '@bufbuild/protobuf';
-import { isNeverConnected } from '../common/ConnectErrors.js';
+import { isConnectFailure } from '../common/ConnectErrors.js';
 import type { ILog } from '../common/Log.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
 import type { RpcClients } from '../common/Rpc.js';
@@ -75,7 +75,7 @@
 
 /** Derives from the error of a call whether the command may have run. */
 export function describeCallError(error: unknown): CallOutcome {
-  if (isNeverConnected(error)) {
+  if (isConnectFailure(error)) {
     return { kind: 'not_connected', reason: 'connection refused' };
   }
   const { code, rawMessage } = ConnectError.from(error);
--- a/src/control/ControlNode.ts
+++ b/src/control/ControlNode.ts
@@ -2,7 +2,7 @@
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { ConnectRouter } from '@connectrpc/connect';
 import type { IClock } from '../common/Clock.js';
-import { runWithLimit } from '../common/Tasks.js';
+import { runWithTimeout } from '../common/Tasks.js';
 import type { IConsensusStatus, IReplicatedLog } from '../consensus/Types.js';
 import { filterItems } from '../feed/FeedCopy.js';
 import type { IFeedSource } from '../feed/Types.js';
@@ -54,7 +54,7 @@
   ) {}
 
   /** True while this member is an established leader, so that its state is the source of the items. */
-  public get isOrigin(): boolean {
+  public get isEstablishedLeader(): boolean {
     return this._log.getConfirmedAt() !== undefined;
   }
 
@@ -87,7 +87,7 @@
   }
 
   private async _commit(command: Uint8Array, signal: AbortSignal): Promise<ExecuteResponse> {
-    const committed = await runWithLimit(signal, COMMIT_TIMEOUT_MS, (limited) =>
+    const committed = await runWithTimeout(signal, COMMIT_TIMEOUT_MS, (limited) =>
       this._log.propose(command, limited),
     );
     if (committed.ok) {
--- a/src/entry/Authenticate.test.ts
+++ b/src/entry/Authenticate.test.ts
@@ -10,13 +10,13 @@
   ItemSchema,
 } from '../gen/redwingwharf/v1/state_pb.js';
 import { authenticate, stripKeyFromQuery } from './Authenticate.js';
-import { Directory } from './Directory.js';
+import { ConfigurationIndex } from './ConfigurationIndex.js';
 
 const KEY = createCallerKey('pag');
 
-function createDirectory(withdrawn: boolean): { feed: FeedCopy; directory: Directory } {
+function createDirectory(withdrawn: boolean): { feed: FeedCopy; directory: ConfigurationIndex } {
   const feed = new FeedCopy();
-  const directory = new Directory(feed);
+  const directory = new ConfigurationIndex(feed);
   const account = create(ClientAccountSchema, { id: 'pag', services: ['lace'] });
   const record = { ...KEY.record, withdrawn };
   const items = [
--- a/src/entry/Authenticate.ts
+++ b/src/entry/Authenticate.ts
@@ -5,7 +5,7 @@
 import { isFresh } from '../feed/Freshness.js';
 import type { IFeed } from '../feed/Types.js';
 import type { ClientAccount } from '../gen/redwingwharf/v1/state_pb.js';
-import type { Directory } from './Directory.js';
+import type { ConfigurationIndex } from './ConfigurationIndex.js';
 import { createRefusal, type IHttpFailure } from './Failures.js';
 import { mayContainKey } from './KeyFilter.js';
 
@@ -28,7 +28,7 @@
 export function authenticate(
   headers: IncomingHttpHeaders,
   query: URLSearchParams,
-  directory: Directory,
+  directory: ConfigurationIndex,
   feed: IFeed,
   now: number,
 ): Result<ICaller, IHttpFailure> {
@@ -49,7 +49,7 @@
 }
 
 /** True while the key may be used. Also used to check the requests in progress. */
-export function isKeyValid(caller: ICaller, directory: Directory): boolean {
+export function isKeyValid(caller: ICaller, directory: ConfigurationIndex): boolean {
   const record = directory.getKey(caller.keyId);
   return (
     record?.withdrawn === false &&
@@ -77,7 +77,7 @@
   return text === '' ? url.pathname : `${url.pathname}?${text}`;
 }
 
-function checkKey(keyText: string, directory: Directory): Result<ICaller, IHttpFailure> {
+function checkKey(keyText: string, directory: ConfigurationIndex): Result<ICaller, IHttpFailure> {
   const key = parseCallerKey(keyText);
   const record = key === undefined ? undefined : directory.getKey(key.keyId);
   const isValid = verifyCallerKey(record, key?.secret ?? '');
--- a/src/entry/ClaimDispatch.ts
+++ b/src/entry/ClaimDispatch.ts
@@ -4,7 +4,7 @@
 import { createTimeoutSignal } from '../common/Tasks.js';
 import { RefusalReason } from '../gen/redwingwharf/v1/control_pb.js';
 import { AnswerSchema } from '../gen/redwingwharf/v1/state_pb.js';
-import type { Chooser, IChoice } from './Chooser.js';
+import type { TargetChooser, IChoice } from './TargetChooser.js';
 import type { ClaimOutcome, IClaimAttempt } from './ClaimTypes.js';
 import { createTicket, type DispatchClient } from './DispatchClient.js';
 import { pickAnswerHeaders } from './ForwardHeaders.js';
@@ -18,7 +18,7 @@
  */
 export class ClaimDispatch {
   constructor(
-    private readonly _chooser: Chooser,
+    private readonly _chooser: TargetChooser,
     private readonly _client: DispatchClient,
     private readonly _outcomeQuery: OutcomeQuery,
     private readonly _services: IFlowServices,
--- a/src/entry/ClaimFlow.ts
+++ b/src/entry/ClaimFlow.ts
@@ -1,9 +1,9 @@
 /** Flow of calls that must run at most once: claim, dispatch, settle. */
 import { digestSha256 } from '../common/Hashes.js';
 import { Err, Ok, type Result } from '../common/Result.js';
-import { createUnrecordedClaim, isBroken } from '../common/TestSwitches.js';
+import { createUnrecordedClaim, isMechanismDisabled } from '../common/TestSwitches.js';
 import { ClaimState, type Answer, type ClaimResult } from '../gen/redwingwharf/v1/state_pb.js';
-import type { Chooser, IChoice } from './Chooser.js';
+import type { TargetChooser, IChoice } from './TargetChooser.js';
 import type { ClaimDispatch } from './ClaimDispatch.js';
 import type { ClaimSettlement } from './ClaimSettlement.js';
 import { describeUnknownOutcome, type ClaimOutcome, type IClaimAttempt } from './ClaimTypes.js';
@@ -55,7 +55,7 @@
   constructor(
     private readonly _admitter: IAdmitter,
     private readonly _queue: QueueStage,
-    private readonly _chooser: Chooser,
+    private readonly _chooser: TargetChooser,
     private readonly _control: IControl,
     private readonly _claimDispatch: ClaimDispatch,
     private readonly _outcomeQuery: OutcomeQuery,
@@ -168,7 +168,7 @@
     replacesAttempt: number,
   ): Promise<Result<ClaimResult, IHttpFailure>> {
     const { announcement } = choice.target;
-    TEST_ONLY: if (isBroken('claim')) return Ok(createUnrecordedClaim());
+    TEST_ONLY: if (isMechanismDisabled('claim')) return Ok(createUnrecordedClaim());
     const method = context.request.method ?? 'POST';
     const result = await this._control.execute(
       {
@@ -261,7 +261,7 @@
     outcome: ClaimOutcome,
     isReplay: boolean,
   ): Promise<ClaimRoundResult> {
-    TEST_ONLY: if (isBroken('rebind-proof') && outcome.kind !== 'answered')
+    TEST_ONLY: if (isMechanismDisabled('rebind-proof') && outcome.kind !== 'answered')
       outcome = { kind: 'not_run', isOldRevision: false };
     switch (outcome.kind) {
       case 'answered':
--- a/src/entry/Directory.ts
+++ b/src/entry/ConfigurationIndex.ts
@@ -27,7 +27,7 @@
  * const directory = new Directory(feed);
  * directory.findRoute('/orders/17');
  */
-export class Directory implements IDisposable {
+export class ConfigurationIndex implements IDisposable {
   private readonly _services = new Map<string, Service>();
   private readonly _accounts = new Map<string, ClientAccount>();
   private readonly _keys = new Map<string, CallerKey>();
--- a/src/entry/DispatchClient.ts
+++ b/src/entry/DispatchClient.ts
@@ -9,7 +9,7 @@
   TICKET_HEADER,
 } from '../common/Headers.js';
 import { sendRequest, type IHttpAnswer } from '../common/HttpAnswer.js';
-import { isNeverConnected } from '../common/ConnectErrors.js';
+import { isConnectFailure } from '../common/ConnectErrors.js';
 import { CLUSTER_SECRET_HEADER } from '../common/Rpc.js';
 import {
   ReceiptSchema,
@@ -160,7 +160,7 @@
 }
 
 function convertError(error: unknown): DispatchOutcome {
-  if (isNeverConnected(error)) {
+  if (isConnectFailure(error)) {
     return { kind: 'not_run', reason: RefusalReason.TARGET_DOWN };
   }
   return { kind: 'unknown', message: error instanceof Error ? error.message : String(error) };
--- a/src/entry/Dispatcher.test.ts
+++ b/src/entry/Dispatcher.test.ts
@@ -11,7 +11,7 @@
   RefusalReason,
 } from '../gen/redwingwharf/v1/control_pb.js';
 import { ServiceSchema } from '../gen/redwingwharf/v1/state_pb.js';
-import type { Chooser, IChooseInput } from './Chooser.js';
+import type { TargetChooser, IChooseInput } from './TargetChooser.js';
 import { DecisionLog } from './DecisionLog.js';
 import type { DispatchClient, DispatchOutcome } from './DispatchClient.js';
 import { Dispatcher } from './Dispatcher.js';
@@ -52,7 +52,7 @@
     recordDispatch: vi.fn(),
     recordBusy,
     recordFailure,
-  } as unknown as Chooser;
+  } as unknown as TargetChooser;
   const results = [...outcomes];
   const client = {
     dispatch: () => Promise.resolve(results.shift()),
--- a/src/entry/Dispatcher.ts
+++ b/src/entry/Dispatcher.ts
@@ -3,7 +3,7 @@
 import { addJitter, sleep } from '../common/Tasks.js';
 import { RefusalReason, type Receipt } from '../gen/redwingwharf/v1/control_pb.js';
 import type { RetryBudget } from '../admission/RetryBudget.js';
-import type { Chooser, IChoice, IChooseInput } from './Chooser.js';
+import type { TargetChooser, IChoice, IChooseInput } from './TargetChooser.js';
 import type { DispatchClient, DispatchOutcome, IDispatch } from './DispatchClient.js';
 import { createTicket } from './DispatchClient.js';
 import { createFailure, createRefusal, type IHttpFailure, type Ran } from './Failures.js';
@@ -39,7 +39,7 @@
  */
 export class Dispatcher {
   constructor(
-    private readonly _chooser: Chooser,
+    private readonly _chooser: TargetChooser,
     private readonly _client: DispatchClient,
     private readonly _budget: RetryBudget,
     private readonly _services: IFlowServices,
--- a/src/entry/EdgeHarness.ts
+++ b/src/entry/EdgeHarness.ts
@@ -15,7 +15,7 @@
 import { SILENT_LOG } from '../common/Log.js';
 import { Metrics } from '../common/Metrics.js';
 import { RpcClients } from '../common/Rpc.js';
-import { SoloLog } from '../consensus/SoloLog.js';
+import { InMemoryLog } from '../consensus/InMemoryLog.js';
 import { ControlClient } from '../control/ControlClient.js';
 import { ControlNode } from '../control/ControlNode.js';
 import { FeedClient } from '../feed/FeedClient.js';
@@ -33,7 +33,7 @@
   ServiceSchema,
   type ItemChangeSchema,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { EntryRole, type IEntryOverrides } from '../run/EntryRole.js';
+import { EntryRole, type IEntryTestLimits } from '../run/EntryRole.js';
 import { InternalServer } from '../run/InternalServer.js';
 import type { ILoadedSettings } from '../settings/Types.js';
 import { Sidecar } from '../sidecar/Sidecar.js';
@@ -47,12 +47,12 @@
   model: 'lace-1',
   weightsVersion: 'w1',
   prefillTokensPerSecond: 1_000_000,
-  decodeMs: 2,
+  tokenIntervalMs: 2,
   maxRunning: 64,
   fencing: 'strict',
   loadLagMs: 0,
   loadMs: 0,
-  cache: { capacityChunks: 64, idleEvictionMs: 60_000, eventDelayMs: 0, eventLoss: 0 },
+  cache: { capacityChunks: 64, idleEvictionMs: 60_000, eventDelayMs: 0, eventLossRatio: 0 },
 };
 
 /** What the deployment consists of; by default one entry, one engine and one plain target. */
@@ -60,7 +60,7 @@
   readonly engines?: readonly (Partial<IEngineOptions> | Server)[];
   readonly plainTargets?: number;
   readonly entries?: number;
-  readonly overrides?: IEntryOverrides;
+  readonly overrides?: IEntryTestLimits;
 }
 
 /** An answer whose body was read completely. */
@@ -143,7 +143,7 @@
   private readonly _control: ControlNode;
 
   private constructor(private readonly _controlAddress: string) {
-    const log = new SoloLog(this._state, this._clock, _controlAddress);
+    const log = new InMemoryLog(this._state, this._clock, _controlAddress);
     this._control = new ControlNode(log, this._state, this._clock, _controlAddress);
   }
 
@@ -423,7 +423,7 @@
       },
       handleDispatch: async (request, response) => {
         this.interceptDispatch?.(request, response);
-        await sidecar.handle(request, response);
+        await sidecar.handleDispatch(request, response);
       },
       metrics: new Metrics(),
     });
--- a/src/entry/EdgeQueue.test.ts
+++ b/src/entry/EdgeQueue.test.ts
@@ -22,7 +22,7 @@
     const clock = { now: () => 0 };
     const queue = new DispatchQueue(clock, {
       listLoads: () => [{ target: 'desk-0', load: 0 }],
-      maxPerTarget: 1,
+      maxRequestsPerTarget: 1,
       limits: { maxRequests: 0 },
     });
     const stage = new QueueStage(queue, { clock, metrics: new Metrics() } as IFlowServices);
@@ -42,7 +42,10 @@
   let harness: EdgeHarness;
 
   beforeAll(async () => {
-    harness = await EdgeHarness.start({ engines: [], overrides: { queue: { maxPerTarget: 8 } } });
+    harness = await EdgeHarness.start({
+      engines: [],
+      overrides: { queue: { maxRequestsPerTarget: 8 } },
+    });
   });
 
   afterAll(async () => {
--- a/src/entry/EdgeStreams.test.ts
+++ b/src/entry/EdgeStreams.test.ts
@@ -70,7 +70,7 @@
 
 describe('a stream of the only engine', () => {
   beforeAll(async () => {
-    harness = await EdgeHarness.start({ engines: [{ decodeMs: 5 }], plainTargets: 0 });
+    harness = await EdgeHarness.start({ engines: [{ tokenIntervalMs: 5 }], plainTargets: 0 });
   });
 
   afterAll(async () => {
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -6,7 +6,7 @@
 import { parseAddress } from '../common/Address.js';
 import { describeError } from '../common/Log.js';
 import { sleep } from '../common/Tasks.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { Err, Ok, type Result } from '../common/Result.js';
 import { isFresh } from '../feed/Freshness.js';
 import type { Service } from '../gen/redwingwharf/v1/state_pb.js';
@@ -19,7 +19,7 @@
 } from './Authenticate.js';
 import { IDEMPOTENCY_KEY_HEADER, type ClaimFlow } from './ClaimFlow.js';
 import { formatClientError, MAX_HEADER_BYTES } from './ClientErrors.js';
-import type { Directory } from './Directory.js';
+import type { ConfigurationIndex } from './ConfigurationIndex.js';
 import {
   describeUncheckedClaim,
   createRefusal,
@@ -97,7 +97,7 @@
 
   constructor(
     private readonly _address: string,
-    private readonly _directory: Directory,
+    private readonly _directory: ConfigurationIndex,
     private readonly _openRequests: OpenRequests,
     private readonly _flows: IEntryFlows,
     private readonly _services: IFlowServices,
@@ -153,7 +153,7 @@
    * `DRAIN_NOTICE_PERIOD_MS`, closes the listener, and waits for the open requests up to `timeoutMs`.
    */
   public async drain(timeoutMs: number, signal: AbortSignal): Promise<void> {
-    TEST_ONLY: if (isBroken('graceful-drain')) return;
+    TEST_ONLY: if (isMechanismDisabled('graceful-drain')) return;
     this._isDraining = true;
     for (const response of this._responses) {
       closeAfterResponse(response);
--- a/src/entry/ForwardHeaders.ts
+++ b/src/entry/ForwardHeaders.ts
@@ -1,7 +1,7 @@
 /** Selects the headers that are forwarded between caller and target. */
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { mayContainKey } from './KeyFilter.js';
 
 /** Request headers that are forwarded to targets. Keys, cookies and unknown headers are not. */
@@ -33,7 +33,8 @@
 /** Copies the request headers that are forwarded to targets, except those that may contain a key. */
 export function pickRequestHeaders(headers: IncomingHttpHeaders): Record<string, string> {
   const picked: Record<string, string> = {};
-  TEST_ONLY: if (isBroken('forward-key')) picked.authorization = headers.authorization ?? '';
+  TEST_ONLY: if (isMechanismDisabled('forward-key'))
+    picked.authorization = headers.authorization ?? '';
   for (const name of FORWARDED_REQUEST_HEADERS) {
     const value = headers[name];
     if (typeof value === 'string' && !mayContainKey(value)) {
--- a/src/entry/ModelFlow.ts
+++ b/src/entry/ModelFlow.ts
@@ -2,7 +2,12 @@
 import { readAnswer } from '../common/HttpAnswer.js';
 import { readUsage } from './SseScanner.js';
 import { pickAnswerHeaders, pickRequestHeaders } from './ForwardHeaders.js';
-import { convertLoad, type Chooser, type IChoice, type IChooseInput } from './Chooser.js';
+import {
+  convertLoad,
+  type TargetChooser,
+  type IChoice,
+  type IChooseInput,
+} from './TargetChooser.js';
 import type { DispatchClient } from './DispatchClient.js';
 import type { Dispatcher, IAnsweredDispatch, IOutgoingRequest } from './Dispatcher.js';
 import { createFailure, sendFailure, type IHttpFailure } from './Failures.js';
@@ -48,7 +53,7 @@
   constructor(
     private readonly _admitter: IAdmitter,
     private readonly _queue: QueueStage,
-    private readonly _chooser: Chooser,
+    private readonly _chooser: TargetChooser,
     private readonly _dispatcher: Dispatcher,
     private readonly _client: DispatchClient,
     private readonly _openRequests: OpenRequests,
--- a/src/entry/OpenRequests.ts
+++ b/src/entry/OpenRequests.ts
@@ -1,9 +1,9 @@
 /** Requests in progress, whose keys and deadlines are checked while they run. */
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { isFresh } from '../feed/Freshness.js';
 import type { IFeed } from '../feed/Types.js';
 import { isKeyValid, type ICaller } from './Authenticate.js';
-import type { Directory } from './Directory.js';
+import type { ConfigurationIndex } from './ConfigurationIndex.js';
 
 /** Why an open request ended before its answer was complete. */
 export type EndReason = 'key_withdrawn' | 'deadline_exceeded' | 'client_gone';
@@ -71,7 +71,7 @@
   private readonly _requests = new Set<OpenRequest>();
 
   constructor(
-    private readonly _directory: Directory,
+    private readonly _directory: ConfigurationIndex,
     private readonly _feed: IFeed,
   ) {}
 
@@ -98,7 +98,7 @@
    * meanwhile may be handled before the next call of `check`.
    */
   public checkRequest(request: OpenRequest, now: number): void {
-    TEST_ONLY: if (isBroken('open-streams')) return;
+    TEST_ONLY: if (isMechanismDisabled('open-streams')) return;
     if (now >= request.deadlineAt) {
       request.end('deadline_exceeded');
     } else if (request.caller === undefined) {
--- a/src/entry/OutcomeQuery.ts
+++ b/src/entry/OutcomeQuery.ts
@@ -2,7 +2,7 @@
 import { hasSameBytes } from '../common/Hashes.js';
 import { describeError } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { addJitter, sleep } from '../common/Tasks.js';
 import {
   ClaimProgress,
@@ -69,7 +69,7 @@
 
   /** True if another incarnation of the sidecar has announced the target. */
   private _isSidecarReplaced(attempt: IClaimAttempt): boolean {
-    TEST_ONLY: if (isBroken('sidecar-incarnation')) return false;
+    TEST_ONLY: if (isMechanismDisabled('sidecar-incarnation')) return false;
     const target = this._roster.getTarget(attempt.binding.target, this._services.clock.now());
     return (
       target !== undefined &&
--- a/src/entry/PlainFlow.ts
+++ b/src/entry/PlainFlow.ts
@@ -3,7 +3,7 @@
 import type { IDisposable } from '../common/Lifecycle.js';
 import { Err, type Result } from '../common/Result.js';
 import { estimateTokens } from '../policy/PrefixChain.js';
-import type { Chooser, IChooseInput } from './Chooser.js';
+import type { TargetChooser, IChooseInput } from './TargetChooser.js';
 import type { Dispatcher, IAnsweredDispatch } from './Dispatcher.js';
 import { createFailure, sendFailure, type IHttpFailure } from './Failures.js';
 import { pickAnswerHeaders, pickRequestHeaders } from './ForwardHeaders.js';
@@ -69,7 +69,7 @@
   constructor(
     private readonly _admitter: IAdmitter,
     private readonly _queue: QueueStage,
-    private readonly _chooser: Chooser,
+    private readonly _chooser: TargetChooser,
     private readonly _dispatcher: Dispatcher,
     private readonly _openRequests: OpenRequests,
     private readonly _services: IFlowServices,
--- a/src/entry/QueueStage.ts
+++ b/src/entry/QueueStage.ts
@@ -29,7 +29,7 @@
   ): Promise<Result<IDisposable, IHttpFailure>> {
     const account = context.caller?.account;
     const enteredAt = this._services.clock.now();
-    const slot = await this._queue.enter(
+    const slot = await this._queue.acquire(
       {
         requestId: context.requestId,
         service: context.service.name,
--- a/src/entry/StreamRelay.ts
+++ b/src/entry/StreamRelay.ts
@@ -2,7 +2,7 @@
 import type { ServerResponse } from 'node:http';
 import type { AnswerBody } from '../common/HttpAnswer.js';
 import { addJitter, sleep } from '../common/Tasks.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { RefusalReason } from '../gen/redwingwharf/v1/control_pb.js';
 import type { DispatchClient, DispatchOutcome } from './DispatchClient.js';
 import type { IAnsweredDispatch } from './Dispatcher.js';
@@ -52,7 +52,7 @@
     let outcome: DispatchOutcome | undefined = dispatched.outcome;
     while (outcome?.kind === 'answered') {
       let end = await this._forwardEvents(outcome.response.body);
-      TEST_ONLY: if (isBroken('stream-end') && end === 'broken') end = 'done';
+      TEST_ONLY: if (isMechanismDisabled('stream-end') && end === 'broken') end = 'done';
       switch (end) {
         case 'done':
           this._context.response.end();
--- a/src/entry/Chooser.ts
+++ b/src/entry/TargetChooser.ts
@@ -1,7 +1,7 @@
 /** Fifth stage of the request pipeline: chooses a target by the routing policy of the service. */
 import { encodeHex, signHmac } from '../common/Hashes.js';
 import type { IDisposable } from '../common/Lifecycle.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { hashPrefixChain } from '../policy/PrefixChain.js';
 import type {
   IAnswer,
@@ -47,7 +47,7 @@
  * Chooses targets. Holds one routing policy for each service, gives it the targets of the roster, and
  * reports to it how dispatches ended and what the targets announce about their caches.
  */
-export class Chooser implements IDisposable {
+export class TargetChooser implements IDisposable {
   private readonly _policies = new Map<string, IRoutingPolicy>();
   /** Caches the prefix chain for retries, because hashing the prompt takes most of the time of a choice. */
   private readonly _routeRequestCache = new WeakMap<IChooseInput, ISaltedRequest>();
@@ -150,7 +150,7 @@
    * entries.
    */
   private _deriveCacheSalt(input: IChooseInput, weightsVersion: string): string {
-    TEST_ONLY: if (isBroken('cache-salt')) return 'shared';
+    TEST_ONLY: if (isMechanismDisabled('cache-salt')) return 'shared';
     const scope = JSON.stringify([input.clientAccount, input.model, weightsVersion]);
     return encodeHex(signHmac(this._clusterSecret, 'cache-salt', scope));
   }
--- a/src/feed/FeedCopy.ts
+++ b/src/feed/FeedCopy.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { Emitter } from '../common/Lifecycle.js';
 import { hasSameBytes } from '../common/Hashes.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import {
   SyncResponseSchema,
   type SyncRequest,
@@ -80,7 +80,8 @@
       return response.clusterId.length === 0 ? 'behind' : 'other_cluster';
     }
     const revision = Number(response.revision);
-    TEST_ONLY: if (isBroken('feed-revert')) this._revision = Math.min(this._revision, revision);
+    TEST_ONLY: if (isMechanismDisabled('feed-revert'))
+      this._revision = Math.min(this._revision, revision);
     if (revision < this._revision) {
       return 'behind';
     }
--- a/src/feed/Freshness.ts
+++ b/src/feed/Freshness.ts
@@ -1,5 +1,5 @@
 /** Limits the age of the configuration copy that decisions are based on. */
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type { IFeed } from './Types.js';
 
 /**
@@ -15,7 +15,7 @@
  * if (!isFresh(feed, clock.now())) refuse();
  */
 export function isFresh(feed: IFeed, now: number): boolean {
-  TEST_ONLY: if (isBroken('key-freshness')) return true;
+  TEST_ONLY: if (isMechanismDisabled('key-freshness')) return true;
   const confirmedAt = feed.getConfirmedAt();
   return confirmedAt !== undefined && now - confirmedAt < FRESHNESS_LIMIT_MS;
 }
--- a/src/fleet/Fixtures.ts
+++ b/src/fleet/Fixtures.ts
@@ -14,7 +14,7 @@
     pathPrefix: '/assist/',
     kind: 'streaming',
     timeoutMs: 5_000,
-    objectiveMs: 500,
+    latencyObjectiveMs: 500,
     priority: 0,
     shares: [{ service: 'lace', weight: 1 }],
     maxAttempts: 2,
--- a/src/fleet/FleetHub.test.ts
+++ b/src/fleet/FleetHub.test.ts
@@ -11,13 +11,18 @@
 import { buildTarget } from './Fixtures.js';
 import { FleetHub } from './FleetHub.js';
 
-const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
+const QUOTA = { windowMs: 8_000, excessRatio: 0, toleranceTokens: 0 };
 const ANNOUNCE_INTERVAL_MS = 1_200;
 
 function createHub(): FleetHub {
   return new FleetHub(
     'e1',
-    { announceMs: ANNOUNCE_INTERVAL_MS, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
+    {
+      announceIntervalMs: ANNOUNCE_INTERVAL_MS,
+      quota: QUOTA,
+      processStartedAt: 0,
+      log: SILENT_LOG,
+    },
     0,
   );
 }
--- a/src/fleet/FleetHub.ts
+++ b/src/fleet/FleetHub.ts
@@ -59,7 +59,7 @@
 
 export interface IHubOptions {
   /** Interval in milliseconds at which a target announces itself. */
-  readonly announceMs: number;
+  readonly announceIntervalMs: number;
   readonly quota: IQuotaTerms;
   /** Start of this process in milliseconds of its monotonic clock. */
   readonly processStartedAt: number;
@@ -291,7 +291,7 @@
         this._processes.delete(node);
       }
     }
-    const silentMs = this._options.announceMs * MAX_MISSED_ANNOUNCEMENTS;
+    const silentMs = this._options.announceIntervalMs * MAX_MISSED_ANNOUNCEMENTS;
     for (const [id, { record, seenAt }] of this._targets) {
       if (now - seenAt > TARGET_RECORD_TTL_MS) {
         this._targets.delete(id);
--- a/src/fleet/FleetNode.test.ts
+++ b/src/fleet/FleetNode.test.ts
@@ -9,7 +9,7 @@
 import { MonotonicClock } from '../common/Clock.js';
 import { SILENT_LOG } from '../common/Log.js';
 import { Ok } from '../common/Result.js';
-import { SoloLog } from '../consensus/SoloLog.js';
+import { InMemoryLog } from '../consensus/InMemoryLog.js';
 import { waitUntil } from '../consensus/TestCluster.js';
 import { FleetCommandSchema, type FleetCommand } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { buildConfiguration, buildTarget } from './Fixtures.js';
@@ -19,7 +19,7 @@
 import { QuotaWallet } from './QuotaWallet.js';
 
 const CLOCK = new MonotonicClock();
-const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
+const QUOTA = { windowMs: 8_000, excessRatio: 0, toleranceTokens: 0 };
 
 interface IStartedProcess {
   readonly node: FleetNode;
@@ -51,11 +51,11 @@
       {
         address,
         takesRequests: true,
-        hub: { announceMs: 1_200, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
+        hub: { announceIntervalMs: 1_200, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
       },
       view,
       new QuotaWallet(QUOTA.windowMs),
-      { listWork: () => [], takeReadings: () => [], noteReadings: () => undefined },
+      { listWork: () => [], takeReadings: () => [], applyReadings: () => undefined },
       this,
       CLOCK,
       SILENT_LOG,
@@ -63,11 +63,11 @@
     );
     if (isLeader) {
       const state = new FleetState();
-      node.setMember({ log: new SoloLog(state, CLOCK, address), state });
+      node.setMember({ log: new InMemoryLog(state, CLOCK, address), state });
     }
     this._nodes.set(address, node);
     void node.run(this.stop.signal);
-    void node.runHellos(this.stop.signal);
+    void node.runMembershipNotices(this.stop.signal);
     return { node, view };
   }
 }
@@ -141,6 +141,6 @@
     await waitUntil('all have found the leader', () =>
       [first, second, third].every(({ node }) => node.leader === 'leader'),
     );
-    expect(third.node.listKnown()).toContain('leader');
+    expect(third.node.listKnownAddresses()).toContain('leader');
   });
 });
--- a/src/fleet/FleetNode.ts
+++ b/src/fleet/FleetNode.ts
@@ -5,7 +5,7 @@
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
-import { addJitter, isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { addJitter, isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import type { IConsensusStatus, IReplicatedLog } from '../consensus/Types.js';
 import {
   ExchangeRequestSchema,
@@ -33,7 +33,7 @@
 import type { QuotaWallet } from './QuotaWallet.js';
 import { needsPropagation } from './TargetOrder.js';
 import type { RouteTable } from './RouteTable.js';
-import { deriveWindowLimit } from './QuotaRule.js';
+import { computeWindowLimit } from './QuotaRule.js';
 
 /**
  * Interval between two exchanges; a change reaches every process within the interval and a round trip. It
@@ -96,7 +96,7 @@
   /** Removes and returns the readings of prompt parts since the last call. */
   takeReadings(): readonly PromptReading[];
   /** Applies readings that other processes have reported. */
-  noteReadings(readings: readonly PromptReading[], now: number): void;
+  applyReadings(readings: readonly PromptReading[], now: number): void;
 }
 
 export type SubmitOutcome =
@@ -287,12 +287,12 @@
    * aborted. Seeds may have been replaced by diskless processes; after a simultaneous stop of all processes
    * these know only each other, so nobody would find the consensus group without the notices.
    */
-  public async runHellos(signal: AbortSignal): Promise<void> {
+  public async runMembershipNotices(signal: AbortSignal): Promise<void> {
     while (!isAborted(signal)) {
       const members = this._listMembers();
       const isMember = members.includes(this._options.address);
       const recipients = isMember ? this._seeds.filter((seed) => !members.includes(seed)) : [];
-      await runWithLimit(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
+      await runWithTimeout(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
         Promise.all(recipients.map((seed) => this._sendMembershipNotice(seed, members, limited))),
       );
       await sleep(addJitter(MEMBERSHIP_NOTICE_INTERVAL_MS), signal);
@@ -300,7 +300,7 @@
   }
 
   /** Addresses of all processes that may know the consensus group. */
-  public listKnown(): readonly string[] {
+  public listKnownAddresses(): readonly string[] {
     const leader = this._leader === undefined ? [] : [this._leader];
     return [...new Set([...leader, ...this._members, ...this._seeds])];
   }
@@ -354,7 +354,7 @@
     signal: AbortSignal,
     attempt: (limited: AbortSignal) => Promise<T | string>,
   ): Promise<T | string> {
-    return runWithLimit(signal, COMMAND_TIMEOUT_MS, async (limited) => {
+    return runWithTimeout(signal, COMMAND_TIMEOUT_MS, async (limited) => {
       let reason = 'no leader is known';
       while (!isAborted(limited)) {
         const answer = await attempt(limited);
@@ -384,7 +384,7 @@
     const limits = new Map<string, number>();
     for (const account of table.configuration.clientAccounts ?? []) {
       if (account.tokensPerSecond > 0) {
-        limits.set(account.name, deriveWindowLimit(account, this._options.hub.quota));
+        limits.set(account.name, computeWindowLimit(account, this._options.hub.quota));
       }
     }
     return limits;
@@ -446,7 +446,7 @@
       this._members = answer?.members.length ? answer.members : this._members;
       return answer;
     };
-    const leader = await runWithLimit(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
+    const leader = await runWithTimeout(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
       findLeader(candidates, ask, limited),
     );
     return leader === this._options.address ? undefined : leader;
@@ -472,7 +472,7 @@
   }
 
   private _computeExchangeInterval(): number {
-    return Math.max(EXCHANGE_INTERVAL_MS, this._view.entries * EXCHANGE_INTERVAL_PER_ENTRY_MS);
+    return Math.max(EXCHANGE_INTERVAL_MS, this._view.entryCount * EXCHANGE_INTERVAL_PER_ENTRY_MS);
   }
 
   /** Exchanges with the process at an address; true if it answered as the leader. */
@@ -481,7 +481,7 @@
     this._exchangeWaiters = [];
     const request = this._buildRequest(this._clock.now());
     try {
-      const answer = await runWithLimit(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
+      const answer = await runWithTimeout(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
         this._rpc.get(FleetService, address).exchange(request, { signal: limited }),
       );
       this._members = answer.members.length > 0 ? answer.members : this._members;
@@ -508,7 +508,7 @@
     const isNewEpoch = answer.epoch !== this._view.epoch;
     this._view.applyResponse(answer, now);
     this._readingRevision = answer.readingRevision;
-    this._workSource.noteReadings(answer.readings, now);
+    this._workSource.applyReadings(answer.readings, now);
     for (const record of announced) {
       const pending = this._pendingAnnouncements.get(record.id);
       if (pending?.sequence === record.sequence && pending.born === record.born) {
@@ -540,7 +540,7 @@
       this._isLeaderReachable = isReachable;
       this._log.info(isReachable ? 'leader regained' : 'leader lost', {
         detail,
-        lastAnswerAgeMs: Math.round(this._clock.now() - this._view.answeredAt),
+        lastAnswerAgeMs: Math.round(this._clock.now() - this._view.hubAnsweredAt),
       });
     }
   }
@@ -570,7 +570,7 @@
     let reason = 'no leader is known';
     for (const address of this._listLeaderCandidates()) {
       try {
-        const answer = await runWithLimit(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
+        const answer = await runWithTimeout(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
           ask(this._rpc.get(FleetService, address), limited),
         );
         if (typeof answer !== 'string') {
@@ -600,7 +600,7 @@
         reason: confirmed ? '' : NOT_CONFIRMED_REASON,
       });
     }
-    const result = await runWithLimit(signal, COMMAND_TIMEOUT_MS, (limited) =>
+    const result = await runWithTimeout(signal, COMMAND_TIMEOUT_MS, (limited) =>
       member.log.propose(toBinary(FleetCommandSchema, command), limited),
     );
     return result.ok
@@ -621,7 +621,7 @@
   /** Waits until a majority has confirmed this leader after the call began; false if that fails. */
   private async _waitForConfirmation(signal: AbortSignal): Promise<boolean> {
     const calledAt = this._clock.now();
-    return runWithLimit(signal, EXCHANGE_TIMEOUT_MS, async (limited) => {
+    return runWithTimeout(signal, EXCHANGE_TIMEOUT_MS, async (limited) => {
       while (!isAborted(limited)) {
         const confirmedAt = this._member?.log.getConfirmedAt();
         if (confirmedAt === undefined) {
--- a/src/fleet/FleetView.ts
+++ b/src/fleet/FleetView.ts
@@ -38,14 +38,14 @@
 
   public readonly onTableChange = this._tableChanges.onFire;
   /** Fires with the former record when a ready target stops being ready or restarts. */
-  public readonly onTargetLoss = this._unavailableTargets.onFire;
+  public readonly onTargetUnavailable = this._unavailableTargets.onFire;
 
   /** Epoch of the hub that answered last; empty before its first answer. */
   public epoch = '';
   /** The hub's revision up to which this copy is complete. */
   public revision = 0;
   /** Monotonic time in milliseconds of the last answer of a hub. */
-  public answeredAt = Number.NEGATIVE_INFINITY;
+  public hubAnsweredAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     private readonly _decodeDocument: DocumentDecoder,
@@ -62,7 +62,7 @@
   }
 
   /** Number of processes that take requests; at least 1, which is this one. */
-  public get entries(): number {
+  public get entryCount(): number {
     return this._entryCount;
   }
 
@@ -80,7 +80,7 @@
     return this._targets.get(id);
   }
 
-  public getOthersWork(id: string): IRemoteWork {
+  public getRemoteWork(id: string): IRemoteWork {
     return this._remoteWork.get(id) ?? NO_WORK;
   }
 
@@ -107,7 +107,7 @@
 
   public applyWeights(weights: readonly NamedWeights[], now: number): void {
     for (const { model, version } of weights) {
-      if (this._weights.note(model, Number(version), now)) {
+      if (this._weights.record(model, Number(version), now)) {
         this._log.info('weights named', { model, version: Number(version) });
       }
     }
@@ -143,7 +143,7 @@
 
   /** Applies the hub's answer to an exchange. */
   public applyResponse(answer: ExchangeResponse, now: number): void {
-    this.answeredAt = now;
+    this.hubAnsweredAt = now;
     this.epoch = answer.epoch;
     this.revision = Number(answer.revision);
     this._entryCount = Math.max(1, answer.entries);
--- a/src/fleet/Quota.test.ts
+++ b/src/fleet/Quota.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import { buildAccount } from './Fixtures.js';
 import { QuotaPool } from './QuotaPool.js';
-import { deriveWindowLimit } from './QuotaRule.js';
+import { computeWindowLimit } from './QuotaRule.js';
 import { QuotaWallet } from './QuotaWallet.js';
 
 const WINDOW_MS = 8_000;
@@ -143,7 +143,11 @@
 
   it('uses most of the excess and tolerance that the terms allow, but not all', () => {
     const account = buildAccount({ tokensPerSecond: 10_000, burstTokens: 20_000 });
-    const limit = deriveWindowLimit(account, { windowMs: 8_000, excess: 0.1, tolerance: 50_000 });
+    const limit = computeWindowLimit(account, {
+      windowMs: 8_000,
+      excessRatio: 0.1,
+      toleranceTokens: 50_000,
+    });
     expect(limit).toBeGreaterThan(100_000);
     expect(limit).toBeLessThan(160_000);
   });
--- a/src/fleet/QuotaRule.ts
+++ b/src/fleet/QuotaRule.ts
@@ -9,16 +9,16 @@
   /** The limit holds in any time span of this many milliseconds. */
   readonly windowMs: number;
   /** Fraction by which the limit may be exceeded. */
-  readonly excess: number;
+  readonly excessRatio: number;
   /** Tokens by which the limit may be exceeded in addition. */
-  readonly tolerance: number;
+  readonly toleranceTokens: number;
 }
 
 /**
  * Most tokens that a client account may spend within the window. Includes the excess and tolerance, since
  * refusing a request that the terms allow would only harm its client.
  */
-export function deriveWindowLimit(account: IClientAccount, terms: IQuotaTerms): number {
+export function computeWindowLimit(account: IClientAccount, terms: IQuotaTerms): number {
   const nominal = (account.tokensPerSecond * terms.windowMs) / 1_000 + account.burstTokens;
-  return SAFETY_FACTOR * (nominal * (1 + terms.excess) + terms.tolerance);
+  return SAFETY_FACTOR * (nominal * (1 + terms.excessRatio) + terms.toleranceTokens);
 }
--- a/src/fleet/SharedRetryBudget.test.ts
+++ b/src/fleet/SharedRetryBudget.test.ts
@@ -18,7 +18,7 @@
     let spent = 0;
     for (const budget of budgets) {
       for (let i = 0; i < 100; i += 1) {
-        budget.noteRequest('lace', i * 50);
+        budget.recordRequest('lace', i * 50);
       }
       spent += spendAll(budget, 6, 5_000);
     }
--- a/src/fleet/SharedRetryBudget.ts
+++ b/src/fleet/SharedRetryBudget.ts
@@ -29,7 +29,7 @@
   constructor(private readonly _limits: IRetryLimits) {}
 
   /** Counts a request that a client sent. */
-  public noteRequest(service: string, now: number): void {
+  public recordRequest(service: string, now: number): void {
     this._ensureSlice(service, now).requests += 1;
   }
 
--- a/src/fleet/Types.ts
+++ b/src/fleet/Types.ts
@@ -23,7 +23,7 @@
   /** Time limit of a request in milliseconds. */
   readonly timeoutMs: number;
   /** Latency objective in milliseconds; a later answer is worth less. */
-  readonly objectiveMs: number;
+  readonly latencyObjectiveMs: number;
   /** Priority class; 0 is the highest. */
   readonly priority: number;
   readonly shares: readonly IRouteShare[];
@@ -76,7 +76,7 @@
 }
 
 /** Limits on what a client may send. */
-export interface ICallerLimits {
+export interface IClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
   readonly headerTimeoutMs: number;
@@ -88,7 +88,7 @@
   readonly version: number;
   readonly routes: readonly IRoute[];
   readonly services: readonly IService[];
-  readonly limits: ICallerLimits;
+  readonly limits: IClientLimits;
   /** Undefined: requests need no key. */
   readonly clientAccounts: readonly IClientAccount[] | undefined;
 }
--- a/src/fleet/WeightsHistory.ts
+++ b/src/fleet/WeightsHistory.ts
@@ -13,7 +13,7 @@
   private readonly _versionsByModel = new Map<string, INamedVersion[]>();
 
   /** Records a named version; false if it is not newer than all known ones. */
-  public note(model: string, version: number, now: number): boolean {
+  public record(model: string, version: number, now: number): boolean {
     const versions = this._versionsByModel.get(model) ?? [];
     if (version <= (versions.at(-1)?.version ?? 0)) {
       return false;
@@ -32,7 +32,7 @@
    * Newest version that has been known for at least `graceMs`; a request may no longer begin on an older one.
    * 0 if there is none.
    */
-  public getDue(model: string, graceMs: number, now: number): number {
+  public getRequiredVersion(model: string, graceMs: number, now: number): number {
     const versions = this._versionsByModel.get(model) ?? [];
     return versions.findLast(({ learnedAt }) => now - learnedAt >= graceMs)?.version ?? 0;
   }
--- a/src/fleet/WeightsRollout.test.ts
+++ b/src/fleet/WeightsRollout.test.ts
@@ -4,19 +4,19 @@
 import { TargetPhase } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { buildTarget } from './Fixtures.js';
 import { FleetHub } from './FleetHub.js';
-import { WeightsRollout, type IEngineOrders } from './WeightsRollout.js';
+import { WeightsRollout, type IEngineClient } from './WeightsRollout.js';
 
-const QUOTA = { windowMs: 8_000, excess: 0, tolerance: 0 };
+const QUOTA = { windowMs: 8_000, excessRatio: 0, toleranceTokens: 0 };
 const CLOCK = { now: () => Date.now() };
 const LOAD_DURATION_MS = 800;
 
 /** Engines that hold the ordered weights `LOAD_DURATION_MS` after an order. */
-class FakeEngines implements IEngineOrders {
+class FakeEngines implements IEngineClient {
   public readonly versions = new Map<string, number>();
   public maxConcurrentLoads = 0;
   private readonly _busy = new Set<string>();
 
-  public fetchReport({ id }: { id: string }): ReturnType<IEngineOrders['fetchReport']> {
+  public fetchReport({ id }: { id: string }): ReturnType<IEngineClient['fetchReport']> {
     return Promise.resolve({
       isBusy: this._busy.has(id),
       sequence: 0,
@@ -27,7 +27,7 @@
   public sendOrder(
     { id }: { id: string },
     { version }: { version: number },
-  ): ReturnType<IEngineOrders['sendOrder']> {
+  ): ReturnType<IEngineClient['sendOrder']> {
     this._busy.add(id);
     this.maxConcurrentLoads = Math.max(this.maxConcurrentLoads, this._busy.size);
     setTimeout(() => {
@@ -47,7 +47,7 @@
 function startRollout(count: number): IStartedRollout {
   const hub = new FleetHub(
     'e1',
-    { announceMs: 1_200, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
+    { announceIntervalMs: 1_200, quota: QUOTA, processStartedAt: 0, log: SILENT_LOG },
     Date.now(),
   );
   for (let i = 0; i < count; i += 1) {
@@ -59,7 +59,7 @@
     {
       getHub: () => hub,
       term: 1,
-      getDueVersion: () => 0,
+      getRequiredVersion: () => 0,
       weights: [{ model: 'm', version: 2n }],
     },
     engines,
--- a/src/fleet/WeightsRollout.ts
+++ b/src/fleet/WeightsRollout.ts
@@ -1,7 +1,7 @@
 /** Loads the newest named weights on every engine; acts on the leader only. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
-import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import { TargetPhase, type TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { getHeldVersion } from './HeldWeights.js';
 import type { FleetHub } from './FleetHub.js';
@@ -64,7 +64,7 @@
 export type OrderOutcome = 'accepted' | 'done' | 'busy' | 'fenced' | 'refused' | 'other_target';
 
 /** Calls to the engines. A call that gets no answer rejects. */
-export interface IEngineOrders {
+export interface IEngineClient {
   fetchReport(target: TargetRecord, signal: AbortSignal): Promise<IEngineReport>;
   sendOrder(target: TargetRecord, order: IWeightsOrder, signal: AbortSignal): Promise<OrderOutcome>;
 }
@@ -86,7 +86,7 @@
   /** Term of the replicated log. A term has at most one leader, so it serves as fencing token. */
   readonly term: number;
   /** Oldest version that a new request may still begin on. */
-  getDueVersion(model: string, now: number): number;
+  getRequiredVersion(model: string, now: number): number;
   readonly weights: readonly { readonly model: string; readonly version: bigint }[];
 }
 
@@ -113,7 +113,7 @@
 
   constructor(
     private readonly _leader: IRolloutLeader,
-    private readonly _engines: IEngineOrders,
+    private readonly _engines: IEngineClient,
     private readonly _options: IRolloutOptions,
     private readonly _clock: IClock,
     private readonly _log: ILog,
@@ -176,7 +176,7 @@
       .filter((target) => isLoadable(target, model))
       .sort((left, right) => getVersion(left, model) - getVersion(right, model));
     // Engines with weights that no request may begin on get no requests anyway, so they may all load at once.
-    const requiredVersion = this._leader.getDueVersion(model, now);
+    const requiredVersion = this._leader.getRequiredVersion(model, now);
     const unusable = candidates.filter(
       (target) => getVersion(target, model) < requiredVersion,
     ).length;
@@ -263,7 +263,7 @@
       fence,
       expectedSequence: initialReport.sequence,
     };
-    const outcome = await runWithLimit(signal, CALL_TIMEOUT_MS, (limited) =>
+    const outcome = await runWithTimeout(signal, CALL_TIMEOUT_MS, (limited) =>
       this._engines.sendOrder(target, order, limited),
     );
     this._log.info('weights ordered', {
@@ -307,7 +307,7 @@
   }
 
   private _fetchReport(target: TargetRecord, signal: AbortSignal): Promise<IEngineReport> {
-    return runWithLimit(signal, CALL_TIMEOUT_MS, (limited) =>
+    return runWithTimeout(signal, CALL_TIMEOUT_MS, (limited) =>
       this._engines.fetchReport(target, limited),
     );
   }
--- a/src/gateway/Attempt.ts
+++ b/src/gateway/Attempt.ts
@@ -1,7 +1,7 @@
 /** Sends a request to one target and relays the response to the client. */
 import type { IClock } from '../common/Clock.js';
 import type { Metrics } from '../common/Metrics.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type { IRoute } from '../fleet/Types.js';
 import type { TargetRecord } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { EventFramer } from './EventFramer.js';
@@ -14,7 +14,7 @@
   ITargetClient,
   ITargetExchange,
   ITargetHead,
-  IToldLoad,
+  IReportedLoad,
 } from './Types.js';
 
 /** Result of one attempt. */
@@ -110,7 +110,7 @@
   }
 
   /** Load that the target reported in the head of its response. */
-  public get load(): IToldLoad | undefined {
+  public get load(): IReportedLoad | undefined {
     return this._head?.load;
   }
 
@@ -217,7 +217,7 @@
     if (this._hasEnded) {
       return;
     }
-    if (!head.isOwn) {
+    if (!head.isForThisRequest) {
       this._end({ kind: 'failed', reason: 'the response belongs to another request' });
       return;
     }
@@ -253,7 +253,7 @@
       this._recordFirstByte();
       this._startSink();
       this._write(bytes);
-      TEST_ONLY: if (isBroken('event-number')) return;
+      TEST_ONLY: if (isMechanismDisabled('event-number')) return;
       this.lastEventId = lastId ?? this.lastEventId;
     }
   }
--- a/src/gateway/CallRunner.test.ts
+++ b/src/gateway/CallRunner.test.ts
@@ -34,7 +34,7 @@
 const OK_HEAD: ITargetHead = {
   status: 200,
   headers: ['Seal', 's1'],
-  isOwn: true,
+  isForThisRequest: true,
   isNotRun: false,
   isOtherTarget: false,
   load: undefined,
@@ -136,7 +136,7 @@
     view.applyTarget(buildTarget({ id: `i-${i}`, address: `10.1.0.${i}:8000`, models }));
   }
   if (setup.named !== undefined) {
-    view.weights.note('m', setup.named.version, clock.now() - setup.named.knownMs);
+    view.weights.record('m', setup.named.version, clock.now() - setup.named.knownMs);
   }
   const targets = new ScriptedTargetClient(scripts);
   const runner = new CallRunner<ICall>({
@@ -151,7 +151,7 @@
     clock,
     metrics: new Metrics(),
     log: SILENT_LOG,
-    quota: { windowMs: 8_000, excess: 0, tolerance: 0 },
+    quota: { windowMs: 8_000, excessRatio: 0, toleranceTokens: 0 },
     weights: { softMs: 6_500, hardMs: 8_800 },
   });
   const sink = new RecordingSink();
@@ -316,7 +316,7 @@
 
   it('never relays a response that belongs to another request', async () => {
     const answerOther: TargetScript = (listener) => {
-      listener.onHead({ ...OK_HEAD, isOwn: false });
+      listener.onHead({ ...OK_HEAD, isForThisRequest: false });
       listener.onData(streamEvents(1, 3));
       listener.onEnd();
     };
--- a/src/gateway/CallRunner.ts
+++ b/src/gateway/CallRunner.ts
@@ -2,11 +2,11 @@
 import type { IClock } from '../common/Clock.js';
 import type { ILog } from '../common/Log.js';
 import type { Metrics } from '../common/Metrics.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type { FleetNode } from '../fleet/FleetNode.js';
 import type { FleetView } from '../fleet/FleetView.js';
 import { getHeldVersion } from '../fleet/HeldWeights.js';
-import { deriveWindowLimit, type IQuotaTerms } from '../fleet/QuotaRule.js';
+import { computeWindowLimit, type IQuotaTerms } from '../fleet/QuotaRule.js';
 import type { QuotaWallet } from '../fleet/QuotaWallet.js';
 import type { SharedRetryBudget } from '../fleet/SharedRetryBudget.js';
 import type { RouteTable } from '../fleet/RouteTable.js';
@@ -120,7 +120,7 @@
     if (admitted === undefined) {
       return;
     }
-    this._context.budget.noteRequest(getFirstServiceName(admitted.route), call.arrivedAt);
+    this._context.budget.recordRequest(getFirstServiceName(admitted.route), call.arrivedAt);
     const progress: IProgress = {
       tried: new Set(),
       attempts: 0,
@@ -177,8 +177,8 @@
     }
     const { wallet, view, clock, node } = this._context;
     const limits = {
-      windowLimit: deriveWindowLimit(account, this._context.quota),
-      entries: view.entries,
+      windowLimit: computeWindowLimit(account, this._context.quota),
+      entries: view.entryCount,
     };
     let outcome = wallet.trySpend(account.name, tokens, limits, clock.now());
     const giveUpAt = clock.now() + QUOTA_WAIT_MS;
@@ -241,7 +241,7 @@
     if (admitted.service.engine === undefined || progress.attempts > 0 || sink.isStarted) {
       return false;
     }
-    const { objectiveMs } = admitted.route;
+    const { latencyObjectiveMs: objectiveMs } = admitted.route;
     const { expectedMs, serviceMs, target } = placement;
     const decision = decideOverload(expectedMs, serviceMs, objectiveMs);
     if (decision.kind === 'serve') {
@@ -265,7 +265,7 @@
     const untried = all.filter((record) => !progress.tried.has(record.id));
     const eligible = this._filterByWeights(call, untried, now);
     const targets = eligible.map((record): IPlacementTarget => {
-      const others = view.getOthersWork(record.id);
+      const others = view.getRemoteWork(record.id);
       return {
         record,
         state: states.ensure(record, now),
@@ -293,14 +293,14 @@
     if (model === undefined) {
       return targets;
     }
-    const softRequiredVersion = view.weights.getDue(model, weights.softMs, now);
+    const softRequiredVersion = view.weights.getRequiredVersion(model, weights.softMs, now);
     const preferred = targets.filter((record) =>
       hasRequiredVersion(record, model, softRequiredVersion),
     );
     if (preferred.length > 0) {
       return preferred;
     }
-    const hardRequiredVersion = view.weights.getDue(model, weights.hardMs, now);
+    const hardRequiredVersion = view.weights.getRequiredVersion(model, weights.hardMs, now);
     return targets.filter((record) => hasRequiredVersion(record, model, hardRequiredVersion));
   }
 
@@ -309,7 +309,7 @@
       parts: service.engine === undefined ? [] : call.parts,
       promptTokens: call.promptTokens ?? 0,
       outputTokens: call.lengthHint ?? call.outputTokens ?? 0,
-      objectiveMs: route.objectiveMs,
+      latencyObjectiveMs: route.latencyObjectiveMs,
       isolationKey: account?.isIsolated === true ? account.name : undefined,
       isEngine: service.engine !== undefined,
       model: call.model,
@@ -378,7 +378,7 @@
       longestGapMs: Math.round(attempt.longestGapMs),
       totalMs: Math.round(now - startedAt),
       version: admitted.table.version,
-      viewAgeMs: Math.round(now - this._context.view.answeredAt),
+      viewAgeMs: Math.round(now - this._context.view.hubAnsweredAt),
     });
     this._recordOutcome(target, outcome, now);
     return outcome;
@@ -432,7 +432,7 @@
         break;
     }
     return (
-      progress.attempts < route.maxAttempts && budget.trySpend(service.name, view.entries, now)
+      progress.attempts < route.maxAttempts && budget.trySpend(service.name, view.entryCount, now)
     );
   }
 
@@ -451,7 +451,7 @@
         }
         return;
       case 'failed':
-        TEST_ONLY: if (isBroken('false-promise')) {
+        TEST_ONLY: if (isMechanismDisabled('false-promise')) {
           this._refuse(call, sink, 503, 'not_run', 0);
           return;
         }
@@ -504,7 +504,7 @@
       reason,
       retryAfterMs: retryMs && Math.round(retryMs),
       afterMs: Math.round(clock.now() - call.arrivedAt),
-      viewAgeMs: Math.round(clock.now() - view.answeredAt),
+      viewAgeMs: Math.round(clock.now() - view.hubAnsweredAt),
       ...detail,
     });
     metrics.increment('gateway_refusals_total', { reason, status: String(status) });
@@ -515,7 +515,7 @@
 
 /** True if requests of the route may run more than once. */
 function isRepeatable(route: IRoute): boolean {
-  TEST_ONLY: if (isBroken('repeat-unsafe')) return true;
+  TEST_ONLY: if (isMechanismDisabled('repeat-unsafe')) return true;
   return route.kind === 'safe' || (route.kind === 'streaming' && route.isResumable);
 }
 
--- a/src/gateway/Placement.test.ts
+++ b/src/gateway/Placement.test.ts
@@ -27,7 +27,7 @@
     ],
     promptTokens: 9_200,
     outputTokens: 10,
-    objectiveMs: 500,
+    latencyObjectiveMs: 500,
     isolationKey: undefined,
     isEngine: true,
     model: 'm',
@@ -180,10 +180,10 @@
       const reader = targets.find(({ record }) => record.id !== home)?.record;
       const others = new PromptHolders();
       others.recordReading(request, updateRecord(reader, {}), 0);
-      const reported = others.takeUntold();
+      const reported = others.takeUnreported();
       expect(reported).toHaveLength(2);
       const holders = new PromptHolders();
-      holders.noteTold(reported, 100);
+      holders.addReported(reported, 100);
       const full = updateTarget(targets, reader?.id, { othersPendingTokens: 40_000 });
       const chosen = new Placement('zg-a', holders).choose(request, full, EMPTY_STORE, 150);
       expect(getSourceId(chosen)).toBe(reader?.id);
@@ -211,10 +211,10 @@
       for (const now of [0, 100, 1_900]) {
         holders.recordReading(request, updateRecord(target?.record, {}), now);
       }
-      expect(holders.takeUntold()).toHaveLength(2);
-      expect(holders.takeUntold()).toHaveLength(0);
+      expect(holders.takeUnreported()).toHaveLength(2);
+      expect(holders.takeUnreported()).toHaveLength(0);
       holders.recordReading(request, updateRecord(target?.record, {}), 2_000);
-      expect(holders.takeUntold()).toHaveLength(2);
+      expect(holders.takeUnreported()).toHaveLength(2);
     });
 
     it('fetches a common first part from a target that was seen to compute it', () => {
--- a/src/gateway/Placement.ts
+++ b/src/gateway/Placement.ts
@@ -152,7 +152,7 @@
     const slowness = getSlowness(target.state, now);
     const expectedMs = modelMs * slowness;
     const cost =
-      computeLatenessCost(expectedMs, request.objectiveMs) +
+      computeLatenessCost(expectedMs, request.latencyObjectiveMs) +
       (missedTokens / 1_000) * RECOMPUTE_COST_PER_1000_TOKENS +
       (transferredTokens / 1_000) * TRANSFER_COST_PER_1000_TOKENS +
       (holding.isHome ? 0 : ((parts.at(-1)?.tokens ?? 0) / 1_000) * NOT_HOME_COST_PER_1000_TOKENS) +
--- a/src/gateway/PlacementRequest.ts
+++ b/src/gateway/PlacementRequest.ts
@@ -11,7 +11,7 @@
   /** Expected number of generated tokens. */
   readonly outputTokens: number;
   /** Latency objective for the first byte. */
-  readonly objectiveMs: number;
+  readonly latencyObjectiveMs: number;
   /** Requests with different isolation keys never share cached prompt parts. */
   readonly isolationKey: string | undefined;
   readonly isEngine: boolean;
--- a/src/gateway/PromptHolders.ts
+++ b/src/gateway/PromptHolders.ts
@@ -112,14 +112,14 @@
   }
 
   /** Returns and clears the readings that were not yet reported to other entries. */
-  public takeUntold(): readonly PromptReading[] {
+  public takeUnreported(): readonly PromptReading[] {
     const unreported = this._unreported.slice(-MAX_UNREPORTED);
     this._unreported = [];
     return unreported;
   }
 
   /** Adds readings that other entries reported. */
-  public noteTold(readings: readonly PromptReading[], now: number): void {
+  public addReported(readings: readonly PromptReading[], now: number): void {
     for (const { part, target, born, weightsVersion } of readings) {
       this._store(part, target, {
         born,
--- a/src/gateway/StoreIndex.ts
+++ b/src/gateway/StoreIndex.ts
@@ -1,7 +1,7 @@
 /** Tracks which prompt parts the KV cache store holds, from the events that the store publishes. */
 import type { IClock } from '../common/Clock.js';
 import { describeError, type ILog } from '../common/Log.js';
-import { isAborted, runWithLimit, sleep } from '../common/Tasks.js';
+import { isAborted, runWithTimeout, sleep } from '../common/Tasks.js';
 import type { FleetView } from '../fleet/FleetView.js';
 
 /** Time for which the store keeps a long poll open while there are no events. */
@@ -27,21 +27,21 @@
 }
 
 /** Events of a store from a position on. */
-export interface IStoreNews {
+export interface IStoreEventBatch {
   /** Differs after each restart of the store, which begins empty. */
   readonly epoch: number;
   /** Position from which to poll next. */
-  readonly next: number;
+  readonly nextPosition: number;
   readonly events: readonly IStoreEvent[];
 }
 
 /** Long-polls a store for events from position `since` on; rejects if the store does not answer. */
-export type StoreQuestion = (
+export type PollStore = (
   address: string,
   since: number,
   waitMs: number,
   signal: AbortSignal,
-) => Promise<IStoreNews>;
+) => Promise<IStoreEventBatch>;
 
 /**
  * Index of the prompt parts that the KV cache store holds or is being sent. Follows the store named in the
@@ -57,7 +57,7 @@
 
   constructor(
     private readonly _view: FleetView,
-    private readonly _poll: StoreQuestion,
+    private readonly _poll: PollStore,
     private readonly _clock: IClock,
     private readonly _log: ILog,
   ) {}
@@ -104,14 +104,14 @@
         await this._pollOnce(address, signal);
       }
       await sleep(
-        Math.max(MIN_POLL_INTERVAL_MS, this._view.entries * POLL_INTERVAL_PER_ENTRY_MS),
+        Math.max(MIN_POLL_INTERVAL_MS, this._view.entryCount * POLL_INTERVAL_PER_ENTRY_MS),
         signal,
       );
     }
   }
 
   /** Applies a batch of events. If its epoch is new, the store has restarted and the index is cleared first. */
-  public apply(batch: IStoreNews): void {
+  public apply(batch: IStoreEventBatch): void {
     if (batch.epoch !== this._epoch) {
       this._reset(batch.epoch);
     }
@@ -122,17 +122,17 @@
         this._held.delete(formatKey(scope, part));
       }
     }
-    this._nextPosition = batch.next;
+    this._nextPosition = batch.nextPosition;
     this._setAvailable(true, 'the store answers');
   }
 
   private async _pollOnce(address: string, signal: AbortSignal): Promise<void> {
     try {
-      const batch = await runWithLimit(signal, POLL_TIMEOUT_MS, (limited) =>
+      const batch = await runWithTimeout(signal, POLL_TIMEOUT_MS, (limited) =>
         this._poll(address, this._nextPosition, LONG_POLL_MS, limited),
       );
       const isRestarted = this._epoch !== 0 && batch.epoch !== this._epoch;
-      this.apply(isRestarted ? { ...batch, events: [], next: 0 } : batch);
+      this.apply(isRestarted ? { ...batch, events: [], nextPosition: 0 } : batch);
     } catch (error) {
       this._setAvailable(false, describeError(error));
     }
--- a/src/gateway/TargetStates.ts
+++ b/src/gateway/TargetStates.ts
@@ -1,7 +1,7 @@
 /** Per-target state of this entry: requests in progress, failures, cooldown, response times and load. */
 import type { TargetRecord, TargetWork } from '../gen/redwingwharf/v1/fleet_pb.js';
 import { hashText } from '../policy/TargetTable.js';
-import type { IToldLoad } from './Types.js';
+import type { IReportedLoad } from './Types.js';
 
 /** Streams with more output tokens last for seconds on a busy engine, which takes about 40 ms a token. */
 export const LONG_STREAM_TOKENS = 100;
@@ -49,7 +49,7 @@
   cooldownUntil: number;
   /** When the target last sent a byte of any response to this entry. */
   lastActivityAt: number;
-  load: (IToldLoad & { readonly at: number }) | undefined;
+  load: (IReportedLoad & { readonly at: number }) | undefined;
 }
 
 /** Holds the state of each target by its id. */
@@ -152,12 +152,12 @@
   state.slownessUpdatedAt = now;
 }
 
-export function recordLoad(state: ITargetState, load: IToldLoad, now: number): void {
+export function recordLoad(state: ITargetState, load: IReportedLoad, now: number): void {
   state.load = { ...load, at: now };
 }
 
 /** Load that the target last reported; undefined if it is older than `MAX_LOAD_AGE_MS`. */
-export function getRecentLoad(state: ITargetState, now: number): IToldLoad | undefined {
+export function getRecentLoad(state: ITargetState, now: number): IReportedLoad | undefined {
   return state.load !== undefined && now - state.load.at <= MAX_LOAD_AGE_MS
     ? state.load
     : undefined;
--- a/src/gateway/Types.ts
+++ b/src/gateway/Types.ts
@@ -80,7 +80,7 @@
 }
 
 /** Load that a target reported with a response. */
-export interface IToldLoad {
+export interface IReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
@@ -91,12 +91,12 @@
   readonly status: number;
   readonly headers: RawHeaders;
   /** False if the response belongs to another request. */
-  readonly isOwn: boolean;
+  readonly isForThisRequest: boolean;
   /** True if the target states that it did not run the request. */
   readonly isNotRun: boolean;
   /** True if another target has this address now. */
   readonly isOtherTarget: boolean;
-  readonly load: IToldLoad | undefined;
+  readonly load: IReportedLoad | undefined;
 }
 
 /** Receives the response of a target. `onEnd` or `onError` is the last call. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,6 +1,6 @@
 /** Entry point of the program: passes the arguments to the command line and sets the exit code. */
 import { runCommand } from './cli/Commands.js';
-import { type IInitialiser, type IOutput, type IRunner } from './cli/Types.js';
+import { type IDataDirectoryInitialiser, type IOutput, type IRoleRunner } from './cli/Types.js';
 
 /** Version from package.json; tools/build.mjs replaces the name by its value. */
 declare const __VERSION__: string;
@@ -11,7 +11,7 @@
 };
 
 /** Loads the roles only for the command that runs a process, so that other commands start fast. */
-const runner: IRunner = {
+const runner: IRoleRunner = {
   run: async (settings, signal) => {
     const { runProcess } = await import('./run/Process.js');
     return runProcess(settings, signal);
@@ -19,10 +19,10 @@
 };
 
 /** Loads the control role only for the command that initialises its data directory. */
-const initialiser: IInitialiser = {
+const initialiser: IDataDirectoryInitialiser = {
   init: async (settings) => {
-    const { initialiseControl } = await import('./run/ControlRole.js');
-    return initialiseControl(settings);
+    const { initialiseControlMember } = await import('./run/ControlRole.js');
+    return initialiseControlMember(settings);
   },
 };
 
--- a/src/policy/BasePolicy.ts
+++ b/src/policy/BasePolicy.ts
@@ -18,7 +18,7 @@
 }
 
 /** Decision for the case that no target is usable. */
-export function explainNone(targets: readonly ITargetView[]): INoDecision {
+export function explainNoTarget(targets: readonly ITargetView[]): INoDecision {
   return {
     kind: 'none',
     reason: targets.length === 0 ? 'no-target' : 'all-draining-or-unhealthy',
--- a/src/policy/DefaultPolicy.ts
+++ b/src/policy/DefaultPolicy.ts
@@ -1,5 +1,5 @@
 /** Routing policy that weighs cached prefixes against queueing time. */
-import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
+import { BasePolicy, explainNoTarget, isUsable } from './BasePolicy.js';
 import { CacheLifetime } from './CacheLifetime.js';
 import { Estimator } from './Estimator.js';
 import { CHUNK_TOKENS } from './PrefixChain.js';
@@ -309,7 +309,7 @@
   ): IRouteDecision {
     const target = targets.find(isUsable);
     if (target === undefined) {
-      return explainNone(targets);
+      return explainNoTarget(targets);
     }
     const scored = this._score(request, target, 0, 'spill', now);
     return {
--- a/src/policy/LeastLoad.ts
+++ b/src/policy/LeastLoad.ts
@@ -1,5 +1,5 @@
 /** Baseline policy: chooses the target with the fewest requests. */
-import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
+import { BasePolicy, explainNoTarget, isUsable } from './BasePolicy.js';
 import type { IRandom, IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
 /**
@@ -31,6 +31,6 @@
         bestCount = count;
       }
     }
-    return best === undefined ? explainNone(targets) : this.decide(best, 'least-load');
+    return best === undefined ? explainNoTarget(targets) : this.decide(best, 'least-load');
   }
 }
--- a/src/policy/PrefixHash.ts
+++ b/src/policy/PrefixHash.ts
@@ -1,5 +1,5 @@
 /** Baseline policy: rendezvous hashing of the first chunks of a prompt. */
-import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
+import { BasePolicy, explainNoTarget, isUsable } from './BasePolicy.js';
 import { hashText, TargetTable } from './TargetTable.js';
 import type { IRandom, IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
@@ -34,6 +34,6 @@
         }
       }
     }
-    return explainNone(targets);
+    return explainNoTarget(targets);
   }
 }
--- a/src/policy/RoundRobin.ts
+++ b/src/policy/RoundRobin.ts
@@ -1,5 +1,5 @@
 /** Baseline policy: round robin. */
-import { BasePolicy, explainNone, isUsable } from './BasePolicy.js';
+import { BasePolicy, explainNoTarget, isUsable } from './BasePolicy.js';
 import type { IRouteDecision, IRouteRequest, ITargetView } from './Types.js';
 
 /** Chooses the usable targets in turn, regardless of load and cache. */
@@ -21,6 +21,6 @@
         return this.decide(target, 'rotation');
       }
     }
-    return explainNone(targets);
+    return explainNoTarget(targets);
   }
 }
--- a/src/run/ControlRole.ts
+++ b/src/run/ControlRole.ts
@@ -3,14 +3,14 @@
 import type { IClock } from '../common/Clock.js';
 import type { ILog } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
-import { initialiseDataFolder, ReplicatedLog } from '../consensus/ReplicatedLog.js';
+import { bootstrapDataDirectory, ReplicatedLog } from '../consensus/ReplicatedLog.js';
 import { DEFAULT_TIMINGS } from '../consensus/Timings.js';
 import { RpcConsensusTransport } from '../consensus/Transport.js';
 import { ControlNode } from '../control/ControlNode.js';
 import { ConsensusService } from '../gen/redwingwharf/v1/consensus_pb.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
 import { encodeHex } from '../common/Hashes.js';
-import type { IControlRole, ILoadedSettings } from '../settings/Types.js';
+import type { IControlRoleSettings, ILoadedSettings } from '../settings/Types.js';
 import { ControlState } from '../state/ControlState.js';
 import { DataDirectory } from '../storage/DataDirectory.js';
 
@@ -24,7 +24,7 @@
 
   /** Opens the data directory; throws an error that names the remedy if it is damaged or in use. */
   public static async open(
-    role: IControlRole,
+    role: IControlRoleSettings,
     address: string,
     rpc: RpcClients,
     clock: IClock,
@@ -85,7 +85,7 @@
  * Bootstraps a new consensus group in the data directory of the control member that the settings describe.
  * Returns the id of the cluster in hexadecimal.
  */
-export async function initialiseControl(
+export async function initialiseControlMember(
   settings: ILoadedSettings,
 ): Promise<Result<string, InitialiseFailure>> {
   const { control, internal } = settings;
@@ -93,7 +93,7 @@
     const message = 'The settings have no control role; use those of a control member.';
     return Err({ kind: 'no_control_role', message });
   }
-  const result = await initialiseDataFolder(control.dataFolder, control.memberId, internal);
+  const result = await bootstrapDataDirectory(control.dataFolder, control.memberId, internal);
   if (result.ok) {
     return Ok(encodeHex(result.val.clusterId));
   }
--- a/src/run/EntryRole.ts
+++ b/src/run/EntryRole.ts
@@ -15,12 +15,12 @@
 import type { Metrics } from '../common/Metrics.js';
 import type { RpcClients } from '../common/Rpc.js';
 import { ControlClient } from '../control/ControlClient.js';
-import { Chooser } from '../entry/Chooser.js';
+import { TargetChooser } from '../entry/TargetChooser.js';
 import { ClaimDispatch } from '../entry/ClaimDispatch.js';
 import { ClaimFlow } from '../entry/ClaimFlow.js';
 import { ClaimSettlement } from '../entry/ClaimSettlement.js';
 import { DecisionLog } from '../entry/DecisionLog.js';
-import { Directory } from '../entry/Directory.js';
+import { ConfigurationIndex } from '../entry/ConfigurationIndex.js';
 import { DispatchClient } from '../entry/DispatchClient.js';
 import { Dispatcher } from '../entry/Dispatcher.js';
 import { Entry, type IEntryLimits } from '../entry/Entry.js';
@@ -42,10 +42,10 @@
 } from '../gen/redwingwharf/v1/control_pb.js';
 import { createPolicy } from '../policy/CreatePolicy.js';
 import { Roster, type IRosterTarget } from '../roster/Roster.js';
-import type { ILoadedSettings, IEntryRole } from '../settings/Types.js';
+import type { ILoadedSettings, IEntryRoleSettings } from '../settings/Types.js';
 
 /** Replaces default limits in tests. */
-export interface IEntryOverrides {
+export interface IEntryTestLimits {
   readonly queue?: Partial<IDispatchQueueOptions>;
   readonly limits?: IEntryLimits;
 }
@@ -55,16 +55,16 @@
   public readonly entry: Entry;
   private readonly _roster = new Roster();
   private readonly _decisionLog: DecisionLog;
-  private readonly _directory: Directory;
+  private readonly _directory: ConfigurationIndex;
   private readonly _openRequests: OpenRequests;
-  private readonly _chooser: Chooser;
+  private readonly _chooser: TargetChooser;
   private readonly _client: DispatchClient;
   private readonly _admitter: Admitter;
   private readonly _shutdown = new AbortController();
 
   constructor(
     private readonly _settings: ILoadedSettings,
-    role: IEntryRole,
+    role: IEntryRoleSettings,
     private readonly _feed: IFeed,
     feedSync: IFeedSync,
     rpc: RpcClients,
@@ -72,7 +72,7 @@
     log: ILog,
     metrics: Metrics,
     private readonly _onDrainRequested: () => void,
-    private readonly _overrides: IEntryOverrides = {},
+    private readonly _overrides: IEntryTestLimits = {},
   ) {
     const control = new ControlClient(rpc, role.control, log);
     this._decisionLog = new DecisionLog(log);
@@ -84,10 +84,10 @@
       feed: _feed,
       feedSync,
     };
-    this._directory = new Directory(_feed);
+    this._directory = new ConfigurationIndex(_feed);
     this._openRequests = new OpenRequests(this._directory, _feed);
     this._client = new DispatchClient(_settings.clusterSecret);
-    this._chooser = new Chooser(
+    this._chooser = new TargetChooser(
       this._roster,
       () => createPolicy(role.policy, _settings.dataCentre),
       _settings.clusterSecret,
@@ -140,8 +140,8 @@
       services,
       _overrides.limits,
     );
-    metrics.addGauge('queued_requests', () => queue.waiting);
-    metrics.addGauge('dispatches_in_progress', () => queue.inProgress);
+    metrics.addGauge('queued_requests', () => queue.waitingCount);
+    metrics.addGauge('dispatches_in_progress', () => queue.inProgressCount);
     metrics.addGauge('open_requests', () => this._openRequests.size);
     metrics.addGauge('feed_revision', () => _feed.revision);
   }
@@ -180,7 +180,7 @@
       listLoads: (service, now) => this._roster.listTargets(service, now).map(describeLoad),
     });
     this._roster.onChange(({ kind, target: { announcement } }) => {
-      queue.refresh(announcement.service, announcement.target, kind === 'expired');
+      queue.handleTargetReport(announcement.service, announcement.target, kind === 'expired');
     });
     return queue;
   }
--- a/src/run/FleetProcess.ts
+++ b/src/run/FleetProcess.ts
@@ -10,11 +10,11 @@
 import { QuotaWallet } from '../fleet/QuotaWallet.js';
 import { SharedRetryBudget, type IRetryLimits } from '../fleet/SharedRetryBudget.js';
 import type { DocumentDecoder } from '../fleet/Types.js';
-import { WeightsRollout, type IEngineOrders } from '../fleet/WeightsRollout.js';
+import { WeightsRollout, type IEngineClient } from '../fleet/WeightsRollout.js';
 import { CallRunner } from '../gateway/CallRunner.js';
 import { Placement } from '../gateway/Placement.js';
 import { PromptHolders } from '../gateway/PromptHolders.js';
-import { StoreIndex, type StoreQuestion } from '../gateway/StoreIndex.js';
+import { StoreIndex, type PollStore } from '../gateway/StoreIndex.js';
 import { TargetStates } from '../gateway/TargetStates.js';
 import type { ICall, ITargetClient } from '../gateway/Types.js';
 import { create } from '@bufbuild/protobuf';
@@ -50,8 +50,8 @@
 export interface IFleetAdapters<T extends ICall> {
   readonly decodeDocument: DocumentDecoder;
   readonly targetClient: ITargetClient<T>;
-  readonly engineClient: IEngineOrders;
-  readonly pollStore: StoreQuestion;
+  readonly engineClient: IEngineClient;
+  readonly pollStore: PollStore;
 }
 
 /**
@@ -94,7 +94,7 @@
         address: internalAddress,
         takesRequests,
         hub: {
-          announceMs: _options.announceIntervalMs,
+          announceIntervalMs: _options.announceIntervalMs,
           quota: _options.quota,
           processStartedAt: clock.now(),
           log: _log,
@@ -104,9 +104,9 @@
       wallet,
       {
         listWork: () => states.listOpen().map((work) => create(TargetWorkSchema, work)),
-        takeReadings: () => holders.takeUntold(),
-        noteReadings: (readings, now) => {
-          holders.noteTold(readings, now);
+        takeReadings: () => holders.takeUnreported(),
+        applyReadings: (readings, now) => {
+          holders.addReported(readings, now);
         },
       },
       this._rpc,
@@ -114,7 +114,7 @@
       _log,
       seeds,
     );
-    this.view.onTargetLoss(({ id }) => {
+    this.view.onTargetUnavailable(({ id }) => {
       states.forget(id);
       holders.forgetTarget(id);
     });
@@ -140,7 +140,7 @@
     this._memberHost =
       member &&
       new MemberHost(
-        { ...member, address: internalAddress, listPeers: () => this.node.listKnown() },
+        { ...member, address: internalAddress, listPeers: () => this.node.listKnownAddresses() },
         this._rpc,
         clock,
         _log,
@@ -163,7 +163,11 @@
   public async start(): Promise<void> {
     await this._server.listen();
     const { signal } = this._stop;
-    const tasks = [this.node.run(signal), this.node.runHellos(signal), this._rollout.run(signal)];
+    const tasks = [
+      this.node.run(signal),
+      this.node.runMembershipNotices(signal),
+      this._rollout.run(signal),
+    ];
     if (this._memberHost !== undefined) {
       tasks.push(this._memberHost.run(signal));
     }
@@ -187,14 +191,14 @@
     this._rpc.dispose();
   }
 
-  private _createRollout(engineClient: IEngineOrders): WeightsRollout {
+  private _createRollout(engineClient: IEngineClient): WeightsRollout {
     const getMember = (): IFleetMember | undefined => this._member;
     const { node, view } = this;
     return new WeightsRollout(
       {
         getHub: (now) => node.getHub(now),
-        getDueVersion: (model, now) =>
-          view.weights.getDue(
+        getRequiredVersion: (model, now) =>
+          view.weights.getRequiredVersion(
             model,
             this._options.weightsRolloutLimitMs - WEIGHTS_SOFT_MARGIN_MS,
             now,
--- a/src/run/InternalServer.ts
+++ b/src/run/InternalServer.ts
@@ -8,7 +8,7 @@
 import {
   createRpcHandler,
   hasClusterSecret,
-  refuseForeignRequest,
+  refuseUnauthenticatedRequest,
   RPC_PATH_PREFIX,
 } from '../common/Rpc.js';
 
@@ -52,7 +52,7 @@
           response.writeHead(200, { 'content-type': 'text/plain; version=0.0.4' });
           response.end(services.metrics.render());
         } else if (!hasClusterSecret(request, clusterSecret)) {
-          refuseForeignRequest(response);
+          refuseUnauthenticatedRequest(response);
         } else if (request.headers[TICKET_HEADER] !== undefined) {
           handleDispatch(services, request, response);
         } else if (path.startsWith(RPC_PATH_PREFIX)) {
--- a/src/run/MemberHost.ts
+++ b/src/run/MemberHost.ts
@@ -7,7 +7,7 @@
 import type { RpcClients } from '../common/Rpc.js';
 import { isAborted, sleep } from '../common/Tasks.js';
 import {
-  initialiseDataFolder,
+  bootstrapDataDirectory,
   ReplicatedLog,
   type IConsensusHandlers,
 } from '../consensus/ReplicatedLog.js';
@@ -99,7 +99,7 @@
   }
 
   private async _runOnce(signal: AbortSignal): Promise<void> {
-    await this._initialiseIfEmpty();
+    await this._bootstrapIfEmpty();
     const directory = await DataDirectory.open(this._options.dataFolder, true);
     const state = new FleetState();
     const opened = await ReplicatedLog.open(directory, {
@@ -107,7 +107,7 @@
       address: this._options.address,
       listPeers: this._options.listPeers,
       policy: {
-        lostVoterMs: LOST_VOTER_TIMEOUT_MS,
+        lostVoterTimeoutMs: LOST_VOTER_TIMEOUT_MS,
         minVoters: Math.max(MIN_VOTERS, 2 * this._options.toleratedLosses + 1),
         maxVoters: MAX_VOTERS,
       },
@@ -172,12 +172,12 @@
     }
   }
 
-  private async _initialiseIfEmpty(): Promise<void> {
+  private async _bootstrapIfEmpty(): Promise<void> {
     const { mayBootstrap, dataFolder, address } = this._options;
     if (!mayBootstrap) {
       return;
     }
-    const result = await initialiseDataFolder(dataFolder, address, address, true);
+    const result = await bootstrapDataDirectory(dataFolder, address, address, true);
     if (result.ok) {
       this._log.info('consensus group bootstrapped', { member: address });
     } else if (!(result.val instanceof StorageError && result.val.kind === 'not_empty')) {
--- a/src/run/Process.ts
+++ b/src/run/Process.ts
@@ -118,7 +118,7 @@
       registerRpc: (router) => {
         this._registerRpc(router);
       },
-      handleDispatch: sidecar && ((request, response) => sidecar.handle(request, response)),
+      handleDispatch: sidecar && ((request, response) => sidecar.handleDispatch(request, response)),
       metrics: this._metrics,
     });
   }
@@ -179,7 +179,7 @@
     router.service(FeedService, {
       sync: (request) => {
         const node = this._control?.node;
-        const source = node?.isOrigin === true ? node : this._feedCopy;
+        const source = node?.isEstablishedLeader === true ? node : this._feedCopy;
         return source.sync(request, this._clock.now());
       },
     });
--- a/src/settings/SettingsLoader.ts
+++ b/src/settings/SettingsLoader.ts
@@ -8,11 +8,11 @@
 import { readSecretFile } from './SecretFile.js';
 import {
   formatProblem,
-  type IControlRole,
-  type IEntryRole,
+  type IControlRoleSettings,
+  type IEntryRoleSettings,
   type ILoadedSettings,
   type IProblem,
-  type ISidecarRole,
+  type ISidecarRoleSettings,
   type SettingsFailure,
   type SettingsFailureKind,
 } from './Types.js';
@@ -21,7 +21,7 @@
   return { kind, message: problems.map(formatProblem).join('\n'), problems };
 }
 
-function convertControl(settings: Settings, folder: string): IControlRole | undefined {
+function convertControl(settings: Settings, folder: string): IControlRoleSettings | undefined {
   const { control } = settings;
   if (control === undefined) {
     return undefined;
@@ -30,13 +30,16 @@
   return { ...control, dataFolder, peers: control.peers ?? [] };
 }
 
-function convertSidecar(settings: Settings): ISidecarRole | undefined {
+function convertSidecar(settings: Settings): ISidecarRoleSettings | undefined {
   const { sidecar } = settings;
   if (sidecar === undefined) {
     return undefined;
   }
   const { target } = sidecar;
-  return { ...sidecar, target: { ...target, model: target.model } as ISidecarRole['target'] };
+  return {
+    ...sidecar,
+    target: { ...target, model: target.model } as ISidecarRoleSettings['target'],
+  };
 }
 
 /**
@@ -54,7 +57,7 @@
     clusterSecretFile: resolve(folder, settings.clusterSecretFile),
     logLevel: settings.logLevel ?? 'info',
     feed: feed.filter((address) => address !== settings.internal),
-    entry: settings.entry as IEntryRole | undefined,
+    entry: settings.entry as IEntryRoleSettings | undefined,
     control: convertControl(settings, folder),
     sidecar: convertSidecar(settings),
   };
--- a/src/settings/Types.ts
+++ b/src/settings/Types.ts
@@ -29,12 +29,12 @@
   readonly problems: readonly IProblem[];
 };
 
-export type IEntryRole = Readonly<Required<EntrySettings>>;
+export type IEntryRoleSettings = Readonly<Required<EntrySettings>>;
 
 /** Settings of the control role; `dataFolder` is absolute. */
-export type IControlRole = Readonly<Required<ControlSettings>>;
+export type IControlRoleSettings = Readonly<Required<ControlSettings>>;
 
-export type ITargetRole = Readonly<
+export type ITargetSettings = Readonly<
   Omit<TargetSettings, 'healthPath' | 'model'> & {
     healthPath: string;
     /** Always present for an engine, never for a plain service. */
@@ -42,8 +42,8 @@
   }
 >;
 
-export interface ISidecarRole extends Omit<SidecarSettings, 'target'> {
-  readonly target: ITargetRole;
+export interface ISidecarRoleSettings extends Omit<SidecarSettings, 'target'> {
+  readonly target: ITargetSettings;
 }
 
 /** Checked settings with defaults applied and absolute paths. */
@@ -56,9 +56,9 @@
   readonly logLevel: NonNullable<Settings['logLevel']>;
   /** Other processes to copy the configuration from, by address. Empty only with the control role. */
   readonly feed: readonly string[];
-  readonly entry: IEntryRole | undefined;
-  readonly control: IControlRole | undefined;
-  readonly sidecar: ISidecarRole | undefined;
+  readonly entry: IEntryRoleSettings | undefined;
+  readonly control: IControlRoleSettings | undefined;
+  readonly sidecar: ISidecarRoleSettings | undefined;
 }
 
 /** Formats a problem in one line: file, line, column, pointer, message and remedy. */
--- a/src/sidecar/Announcer.ts
+++ b/src/sidecar/Announcer.ts
@@ -4,14 +4,14 @@
 import { describeError, type ILog } from '../common/Log.js';
 import type { RpcClients } from '../common/Rpc.js';
 import { addJitter, isAborted, sleep } from '../common/Tasks.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import {
   AnnounceRequestSchema,
   RosterService,
   TargetKind,
   type AnnounceRequest,
 } from '../gen/redwingwharf/v1/control_pb.js';
-import type { ITargetRole } from '../settings/Types.js';
+import type { ITargetSettings } from '../settings/Types.js';
 import type { ITargetWatcher } from './Types.js';
 import { addWaitEstimate, type PromptQueue } from './PromptQueue.js';
 import type { UsedChunks } from './UsedChunks.js';
@@ -27,7 +27,7 @@
 const MAX_EVICTED_HASHES = 32;
 
 export interface IAnnouncerOptions {
-  readonly target: ITargetRole;
+  readonly target: ITargetSettings;
   readonly dataCentre: string;
   /** Internal address of this sidecar. */
   readonly address: string;
@@ -71,7 +71,7 @@
 
   /** Announces the target as draining from now on. */
   public startDraining(): void {
-    TEST_ONLY: if (isBroken('drain-notice')) return;
+    TEST_ONLY: if (isMechanismDisabled('drain-notice')) return;
     this._isDrainRequested = true;
     this.announceNow();
   }
--- a/src/sidecar/ClaimTable.ts
+++ b/src/sidecar/ClaimTable.ts
@@ -6,7 +6,7 @@
   type QueryClaimResponse,
 } from '../gen/redwingwharf/v1/control_pb.js';
 import type { Answer } from '../gen/redwingwharf/v1/state_pb.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 
 /** Answers stored for entries whose connection broke before they received the answer. */
 const MAX_ANSWERS = 1_000;
@@ -41,7 +41,7 @@
 
   /** True when the attempt was accepted or refused before, or is at or below the low-water mark. */
   public has(claimId: bigint, attempt: number): boolean {
-    TEST_ONLY: if (isBroken('claim-table')) return false;
+    TEST_ONLY: if (isMechanismDisabled('claim-table')) return false;
     return claimId <= this._lowWaterMark || this._claims.has(formatId(claimId, attempt));
   }
 
--- a/src/sidecar/EngineClient.test.ts
+++ b/src/sidecar/EngineClient.test.ts
@@ -18,12 +18,12 @@
     model: 'm',
     weightsVersion: 'w1',
     prefillTokensPerSecond: 40_000,
-    decodeMs: 1,
+    tokenIntervalMs: 1,
     maxRunning: 4,
     fencing,
     loadLagMs: 0,
     loadMs,
-    cache: { capacityChunks: 8, idleEvictionMs: 5_000, eventDelayMs: 0, eventLoss: 0 },
+    cache: { capacityChunks: 8, idleEvictionMs: 5_000, eventDelayMs: 0, eventLossRatio: 0 },
   });
   const server = createEngineServer(engine, () => undefined);
   server.listen(0, '127.0.0.1');
--- a/src/sidecar/EngineClient.ts
+++ b/src/sidecar/EngineClient.ts
@@ -3,7 +3,7 @@
  */
 import { buildConnector, Client, type Dispatcher } from 'undici';
 import { describeError } from '../common/Log.js';
-import { limitSignal } from '../common/Tasks.js';
+import { deriveTimeoutSignal } from '../common/Tasks.js';
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const READ_TIMEOUT_MS = 1_000;
@@ -168,7 +168,7 @@
     const response = await client.request({
       path: this._healthPath,
       method: 'GET',
-      signal: limitSignal(signal, READ_TIMEOUT_MS),
+      signal: deriveTimeoutSignal(signal, READ_TIMEOUT_MS),
     });
     const reply = (await response.body.json()) as IStateReply;
     if (response.statusCode !== 200) {
--- a/src/sidecar/Forwarder.ts
+++ b/src/sidecar/Forwarder.ts
@@ -1,7 +1,7 @@
 /** Forwards accepted dispatches to the target. */
 import { Client, type Dispatcher } from 'undici';
 import type { IncomingMessage } from 'node:http';
-import { isNeverConnected } from '../common/ConnectErrors.js';
+import { isConnectFailure } from '../common/ConnectErrors.js';
 import { REQUEST_ID_HEADER } from '../common/Headers.js';
 import { sendRequest, type IHttpAnswer } from '../common/HttpAnswer.js';
 import { Err, Ok, type IFailure, type Result } from '../common/Result.js';
@@ -103,7 +103,7 @@
 }
 
 function describeFailure(error: unknown): ForwardFailure {
-  if (isNeverConnected(error)) {
+  if (isConnectFailure(error)) {
     return { kind: 'not_connected', message: `no connection to the target: ${String(error)}` };
   }
   return { kind: 'broken', message: `the call to the target failed: ${String(error)}` };
--- a/src/sidecar/Gate.ts
+++ b/src/sidecar/Gate.ts
@@ -4,7 +4,7 @@
  */
 import { fromBinary } from '@bufbuild/protobuf';
 import { hasSameBytes } from '../common/Hashes.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type { IFeed } from '../feed/Types.js';
 import { RefusalReason, type Ticket } from '../gen/redwingwharf/v1/control_pb.js';
 import { ClientAccountSchema } from '../gen/redwingwharf/v1/state_pb.js';
@@ -34,7 +34,7 @@
   if (ticket.target !== state.target) {
     return RefusalReason.OTHER_TARGET;
   }
-  TEST_ONLY: if (isBroken('sidecar-incarnation')) return undefined;
+  TEST_ONLY: if (isMechanismDisabled('sidecar-incarnation')) return undefined;
   if (!hasSameBytes(ticket.sidecarIncarnation, state.sidecarIncarnation)) {
     return RefusalReason.OTHER_SIDECAR_INCARNATION;
   }
--- a/src/sidecar/KvCacheExchange.test.ts
+++ b/src/sidecar/KvCacheExchange.test.ts
@@ -11,7 +11,7 @@
 import { createKvStoreServer } from '../../fakes/StoreServers.js';
 import { ManualClock } from '../common/Clock.js';
 import { SILENT_LOG } from '../common/Log.js';
-import { Chooser } from '../entry/Chooser.js';
+import { TargetChooser } from '../entry/TargetChooser.js';
 import { AnnounceRequestSchema } from '../gen/redwingwharf/v1/control_pb.js';
 import { createPolicy } from '../policy/CreatePolicy.js';
 import { Roster } from '../roster/Roster.js';
@@ -79,12 +79,12 @@
     model: 'm',
     weightsVersion,
     prefillTokensPerSecond: 10_000_000,
-    decodeMs: 1,
+    tokenIntervalMs: 1,
     maxRunning: 4,
     fencing: 'strict',
     loadLagMs: 0,
     loadMs: 1,
-    cache: { capacityChunks: 200, idleEvictionMs: 600_000, eventDelayMs: 0, eventLoss: 0 },
+    cache: { capacityChunks: 200, idleEvictionMs: 600_000, eventDelayMs: 0, eventLossRatio: 0 },
   });
   const address = await listen(createEngineServer(engine, () => undefined));
   const http = new Agent();
@@ -210,7 +210,7 @@
       weightsVersion,
     });
     roster.announce(announcement, 0);
-    const chooser = new Chooser(roster, () => createPolicy('default', 'd'), 'secret');
+    const chooser = new TargetChooser(roster, () => createPolicy('default', 'd'), 'secret');
     const choice = chooser.choose(
       {
         requestId: 'r',
--- a/src/sidecar/KvCacheStore.ts
+++ b/src/sidecar/KvCacheStore.ts
@@ -1,7 +1,7 @@
 /** Client for the KV-cache store, an HTTP server that stores blobs with PUT and returns them with GET. */
 import type { Readable } from 'node:stream';
 import type { Dispatcher } from 'undici';
-import { limitSignal } from '../common/Tasks.js';
+import { deriveTimeoutSignal } from '../common/Tasks.js';
 
 /** Time limit for the transfer of one blob, whatever its size. */
 const TRANSFER_TIMEOUT_MS = 10_000;
@@ -25,7 +25,7 @@
     path,
     method: 'PUT',
     body: content as Readable | string,
-    signal: limitSignal(signal, TRANSFER_TIMEOUT_MS),
+    signal: deriveTimeoutSignal(signal, TRANSFER_TIMEOUT_MS),
   });
   await response.body.dump();
   if (response.statusCode >= 300) {
@@ -46,7 +46,7 @@
     origin: `http://${address}`,
     path,
     method: 'GET',
-    signal: limitSignal(signal, TRANSFER_TIMEOUT_MS),
+    signal: deriveTimeoutSignal(signal, TRANSFER_TIMEOUT_MS),
   });
   if (response.statusCode === 200) {
     return response.body;
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -9,7 +9,7 @@
 import type { RpcClients } from '../common/Rpc.js';
 import { isAborted, sleep } from '../common/Tasks.js';
 import type { ControlClient } from '../control/ControlClient.js';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import type { IFeed } from '../feed/Types.js';
 import {
   ClaimProgress,
@@ -20,7 +20,7 @@
   type QueryClaimRequest,
   type QueryClaimResponse,
 } from '../gen/redwingwharf/v1/control_pb.js';
-import type { ISidecarRole } from '../settings/Types.js';
+import type { ISidecarRoleSettings } from '../settings/Types.js';
 import { Announcer } from './Announcer.js';
 import { ClaimTable } from './ClaimTable.js';
 import { DispatchHandler } from './DispatchHandler.js';
@@ -57,7 +57,7 @@
   private readonly _kvCacheExchange: KvCacheExchange | undefined;
 
   constructor(
-    private readonly _settings: ISidecarRole,
+    private readonly _settings: ISidecarRoleSettings,
     dataCentre: string,
     address: string,
     feed: IFeed,
@@ -131,7 +131,7 @@
   }
 
   /** Handles a dispatch from an entry. */
-  public async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  public async handleDispatch(request: IncomingMessage, response: ServerResponse): Promise<void> {
     await this._dispatchHandler.handle(request, response);
   }
 
@@ -209,7 +209,8 @@
   }
 
   private _queryClaim(request: QueryClaimRequest): QueryClaimResponse {
-    TEST_ONLY: if (isBroken('sidecar-incarnation')) request.sidecarIncarnation = this._incarnation;
+    TEST_ONLY: if (isMechanismDisabled('sidecar-incarnation'))
+      request.sidecarIncarnation = this._incarnation;
     if (!hasSameBytes(request.sidecarIncarnation, this._incarnation)) {
       return create(QueryClaimResponseSchema, { progress: ClaimProgress.OTHER_INCARNATION });
     }
--- a/src/sidecar/TargetAdmission.ts
+++ b/src/sidecar/TargetAdmission.ts
@@ -8,7 +8,7 @@
   type AnnounceRequest,
   type TargetStatus,
 } from '../gen/redwingwharf/v1/control_pb.js';
-import type { ITargetRole } from '../settings/Types.js';
+import type { ITargetSettings } from '../settings/Types.js';
 import type { Announcer } from './Announcer.js';
 import type { DispatchHandler } from './DispatchHandler.js';
 import type { TargetWatcher } from './TargetWatcher.js';
@@ -48,7 +48,7 @@
  */
 export class TargetAdmission implements ITargetAdmission {
   constructor(
-    private readonly _target: ITargetRole,
+    private readonly _target: ITargetSettings,
     private readonly _entries: readonly string[],
     private readonly _watcher: TargetWatcher,
     private readonly _announcer: Announcer,
--- a/src/sidecar/TargetWatcher.ts
+++ b/src/sidecar/TargetWatcher.ts
@@ -3,10 +3,10 @@
 import type { Dispatcher } from 'undici';
 import { Emitter } from '../common/Lifecycle.js';
 import { describeError, type ILog } from '../common/Log.js';
-import { runPeriodically, runWithLimit } from '../common/Tasks.js';
+import { runPeriodically, runWithTimeout } from '../common/Tasks.js';
 import { TargetLoadSchema } from '../gen/redwingwharf/v1/control_pb.js';
 import type { IClock } from '../common/Clock.js';
-import type { ITargetRole } from '../settings/Types.js';
+import type { ITargetSettings } from '../settings/Types.js';
 import { CacheIndex, type ICacheEvent } from './CacheIndex.js';
 import { HotChunks } from './HotChunks.js';
 import type { ITargetState, ITargetWatcher } from './Types.js';
@@ -57,7 +57,7 @@
   public readonly onChange = this._changeEmitter.onFire;
 
   constructor(
-    private readonly _target: ITargetRole,
+    private readonly _target: ITargetSettings,
     private readonly _http: Dispatcher,
     private readonly _clock: IClock,
     private readonly _log: ILog,
@@ -138,7 +138,7 @@
   }
 
   private async _get(path: string, signal: AbortSignal): Promise<unknown> {
-    return runWithLimit(signal, POLL_TIMEOUT_MS, async (limitedSignal) => {
+    return runWithTimeout(signal, POLL_TIMEOUT_MS, async (limitedSignal) => {
       const response = await this._http.request({
         origin: `http://${this._target.address}`,
         path,
--- a/src/state/AccountLedger.ts
+++ b/src/state/AccountLedger.ts
@@ -22,7 +22,7 @@
  * with a full bucket.
  */
 import { create } from '@bufbuild/protobuf';
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import {
   LedgerSnapshotSchema,
   OutstandingGrantSchema,
@@ -328,7 +328,7 @@
 
   /** Highest level + outstanding that a refund for a grant of this epoch may lead to. */
   protected computeRefundLimit(epoch: number): number {
-    TEST_ONLY: if (isBroken('plain-refunds')) return this._ceiling;
+    TEST_ONLY: if (isMechanismDisabled('plain-refunds')) return this._ceiling;
     return Math.min(this._getEpochLimit(epoch), this._ceiling);
   }
 
--- a/src/state/Changes.ts
+++ b/src/state/Changes.ts
@@ -1,5 +1,5 @@
 /** Accepts operators' changes by compare-and-set on the version, and recognises resends. */
-import { isBroken } from '../common/TestSwitches.js';
+import { isMechanismDisabled } from '../common/TestSwitches.js';
 import { create, toBinary } from '@bufbuild/protobuf';
 import { digestSha256, hasSameBytes } from '../common/Hashes.js';
 import {
@@ -41,7 +41,8 @@
         ? this._buildAccepted(recorded, true)
         : this._buildConflict(recorded, digest);
     }
-    TEST_ONLY: if (isBroken('version-check')) change = { ...change, version: this._version + 1n };
+    TEST_ONLY: if (isMechanismDisabled('version-check'))
+      change = { ...change, version: this._version + 1n };
     if (change.version !== this._version + 1n) {
       return this._buildConflict(this._byVersion.get(change.version), digest);
     }
--- a/tools/bench/Oracle.ts
+++ b/tools/bench/Oracle.ts
@@ -1,5 +1,5 @@
 /** Routing with exact knowledge of the engines, as a bound to compare the policies with. */
-import { BasePolicy, explainNone } from '../../src/policy/BasePolicy.js';
+import { BasePolicy, explainNoTarget } from '../../src/policy/BasePolicy.js';
 import type { IRouteDecision, IRouteRequest, ITargetView } from '../../src/policy/Types.js';
 import type { Engine } from './Engine.js';
 
@@ -41,7 +41,7 @@
     }
     const view = targets.find((target) => target.id === best?.id);
     if (view === undefined || best === undefined) {
-      return explainNone(targets);
+      return explainNoTarget(targets);
     }
     // The entry may not have received the announcement of the current incarnation yet.
     return this.decide({ ...view, incarnation: best.incarnation }, 'least-load');
--- a/tools/demo.ts
+++ b/tools/demo.ts
@@ -121,9 +121,9 @@
   const key = /rww_\S+/.exec(keyCommand.stdout)?.[0] ?? '';
   for (const entry of deployment.listEntries()) {
     await deployment.waitFor(`${entry} to serve`, async () => {
-      const stock = await call(`${deployment.getUrl(entry)}/stock/linen`, key);
-      const models = await call(`${deployment.getUrl(entry)}/v1/models`, key);
-      const answer = await streamCompletion(deployment.getUrl(entry), key, 1);
+      const stock = await call(`${deployment.getEntryUrl(entry)}/stock/linen`, key);
+      const models = await call(`${deployment.getEntryUrl(entry)}/v1/models`, key);
+      const answer = await streamCompletion(deployment.getEntryUrl(entry), key, 1);
       return stock.status === 200 && models.status === 200 && answer.status === 200;
     });
   }
@@ -132,10 +132,10 @@
 
 /** Checks that a stream is complete and that another entry makes use of the cached prompt. */
 async function checkModelService(deployment: Deployment, key: string): Promise<void> {
-  const url = deployment.getUrl('entry-1');
+  const url = deployment.getEntryUrl('entry-1');
   const first = await streamCompletion(url, key, 20);
   recordCheck('streamed answer', isCompleteStream(first.text, 20), '20 tokens in order');
-  const second = await streamCompletion(deployment.getUrl('entry-2'), key, 5);
+  const second = await streamCompletion(deployment.getEntryUrl('entry-2'), key, 5);
   const cached = Number(/"cached_tokens":(\d+)/.exec(second.text)?.[1] ?? 0);
   recordCheck('cached prefix', cached > 0, `${cached} prompt tokens came from the cache`);
 }
@@ -201,7 +201,7 @@
 async function checkWeights(deployment: Deployment, key: string): Promise<void> {
   const [firstUrl = '', secondUrl = '', thirdUrl = ''] = deployment
     .listEntries()
-    .map((entry) => deployment.getUrl(entry));
+    .map((entry) => deployment.getEntryUrl(entry));
   await streamCompletion(firstUrl, key, 1, OTHER_STANDARD);
   const stop = new AbortController();
   const streaming = [firstUrl, secondUrl, thirdUrl].map((url) =>
@@ -250,7 +250,7 @@
 
 /** Checks a lookup, an open route, and idempotency of an order that is sent again. */
 async function checkPlainServices(deployment: Deployment, key: string): Promise<void> {
-  const url = deployment.getUrl('entry-2');
+  const url = deployment.getEntryUrl('entry-2');
   const stock = await call(`${url}/stock/linen`, key);
   recordCheck('lookup', stock.status === 200, stock.text);
   const open = await call(`${url}/opening-hours`, undefined);
@@ -258,7 +258,10 @@
   const order = { method: 'POST', body: '{"order":"40 m cotton"}' };
   const headers = { 'idempotency-key': 'order-1', 'content-type': 'application/json' };
   const first = await call(`${url}/orders`, key, { ...order, headers });
-  const resent = await call(`${deployment.getUrl('entry-3')}/orders`, key, { ...order, headers });
+  const resent = await call(`${deployment.getEntryUrl('entry-3')}/orders`, key, {
+    ...order,
+    headers,
+  });
   recordCheck('order', first.status === 201, first.text);
   const isSame = resent.text === first.text && resent.headers.get('x-rww-replayed') === 'true';
   recordCheck('resent order gets the same answer', isSame, `status ${resent.status}`);
@@ -272,7 +275,7 @@
 
 /** Checks that missing, wrong and withdrawn keys and services of other accounts are refused. */
 async function checkKeys(deployment: Deployment, key: string): Promise<void> {
-  const url = deployment.getUrl('entry-1');
+  const url = deployment.getEntryUrl('entry-1');
   const missing = await call(`${url}/stock/linen`, undefined);
   recordCheck('missing key', missing.status === 401, missing.text);
   const wrong = await call(`${url}/stock/linen`, `${key.slice(0, -4)}AAAA`);
@@ -291,7 +294,7 @@
     const answers = await Promise.all(
       deployment
         .listEntries()
-        .map((entry) => call(`${deployment.getUrl(entry)}/stock/linen`, hvarKeyMatch?.[0])),
+        .map((entry) => call(`${deployment.getEntryUrl(entry)}/stock/linen`, hvarKeyMatch?.[0])),
     );
     return answers.every(({ status }) => status === 401);
   });
@@ -301,14 +304,14 @@
 
 /** Checks that a killed entry interrupts neither the other entries nor their streams. */
 async function checkRestart(deployment: Deployment, key: string): Promise<void> {
-  const stream = streamCompletion(deployment.getUrl('entry-1'), key, 200);
+  const stream = streamCompletion(deployment.getEntryUrl('entry-1'), key, 200);
   await deployment.getChild('entry-3')?.stop('SIGKILL');
-  const during = await call(`${deployment.getUrl('entry-2')}/stock/linen`, key);
+  const during = await call(`${deployment.getEntryUrl('entry-2')}/stock/linen`, key);
   recordCheck('an entry is killed, the others serve', during.status === 200, during.text);
   const restartedAt = performance.now();
   deployment.startEntry('entry-3');
   await deployment.waitFor('entry-3 to be ready', () => deployment.isReady('entry-3'));
-  const hasAnswered = await deployment.waitForAnswer('entry-3', key);
+  const hasAnswered = await deployment.waitUntilServed('entry-3', key);
   const tookMs = Math.round(performance.now() - restartedAt);
   recordCheck('the restarted entry serves', hasAnswered, `first answer after ${tookMs} ms`);
   const { text } = await stream;
@@ -333,7 +336,7 @@
 
 /** Checks that an entry finishes its open stream before it stops. */
 async function checkShutdown(deployment: Deployment, key: string): Promise<void> {
-  const stream = streamCompletion(deployment.getUrl('entry-2'), key, 300);
+  const stream = streamCompletion(deployment.getEntryUrl('entry-2'), key, 300);
   await deployment.waitFor('the stream to start', async () => {
     const status = await deployment.runOperator([
       'status',
--- a/tools/harness/Deployment.ts
+++ b/tools/harness/Deployment.ts
@@ -129,7 +129,7 @@
   }
 
   /** Base URL of an entry for clients. */
-  public getUrl(entry: string): string {
+  public getEntryUrl(entry: string): string {
     return `http://127.0.0.1:${this._entryPorts.get(entry)?.public ?? 0}`;
   }
 
@@ -259,14 +259,14 @@
   }
 
   public async isReady(entry: string): Promise<boolean> {
-    const response = await fetch(`${this.getUrl(entry)}/readyz`);
+    const response = await fetch(`${this.getEntryUrl(entry)}/readyz`);
     return response.status === 200;
   }
 
   /** Waits until an entry answers a lookup with this key; throws after a time limit. */
-  public async waitForAnswer(entry: string, key: string): Promise<boolean> {
+  public async waitUntilServed(entry: string, key: string): Promise<boolean> {
     const headers = { authorization: `Bearer ${key}` };
-    const url = `${this.getUrl(entry)}/stock/linen`;
+    const url = `${this.getEntryUrl(entry)}/stock/linen`;
     await this.waitFor(`${entry} to answer`, async () => {
       const response = await fetch(url, { headers });
       return response.status === 200;
@@ -343,7 +343,7 @@
       internal: ownAddress,
       clusterSecretFile: 'secret',
       entry: {
-        listen: this.getUrl(name).slice('http://'.length),
+        listen: this.getEntryUrl(name).slice('http://'.length),
         control,
         ...(this._plan.policy === undefined ? {} : { policy: this._plan.policy }),
       },
--- a/tools/harness/ProcessUsage.ts
+++ b/tools/harness/ProcessUsage.ts
@@ -20,7 +20,7 @@
 }
 
 /** Current resident memory, in units of 1,024 kB. */
-export function readMemoryMb(pid: number): number {
+export function readResidentMemoryMb(pid: number): number {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
   return Number(/VmRSS:\s+(\d+) kB/.exec(status)?.[1] ?? 0) / 1_024;
 }
--- a/tools/overhead.ts
+++ b/tools/overhead.ts
@@ -11,7 +11,7 @@
 import { LoadClient, runConcurrently } from './harness/LoadClient.js';
 import {
   readCpuMs,
-  readMemoryMb,
+  readResidentMemoryMb,
   readPeakMemoryMb,
   readWrittenBytes,
 } from './harness/ProcessUsage.js';
@@ -138,7 +138,7 @@
   const key = /rww_\S+/.exec(keyCommand.stdout)?.[0] ?? '';
   const client = new LoadClient();
   await deployment.waitFor('the first routed answer', async () => {
-    const times = await client.stream(deployment.getUrl(ENTRY_NAME), key, buildBody(1));
+    const times = await client.stream(deployment.getEntryUrl(ENTRY_NAME), key, buildBody(1));
     return times.status === 200;
   });
   await client.close();
@@ -161,7 +161,7 @@
   for (let index = 0; index < LATENCY_REQUEST_COUNT + WARM_UP_REQUEST_COUNT; index++) {
     const body = buildBody(1);
     const directTimes = await client.stream(deployment.getTargetUrl('lace-1'), undefined, body);
-    const routedTimes = await client.stream(deployment.getUrl(ENTRY_NAME), key, body);
+    const routedTimes = await client.stream(deployment.getEntryUrl(ENTRY_NAME), key, body);
     if (index >= WARM_UP_REQUEST_COUNT) {
       directHistogram.recordValue(Math.round(directTimes.firstByteMs * 1_000));
       routedHistogram.recordValue(Math.round(routedTimes.firstByteMs * 1_000));
@@ -228,7 +228,7 @@
 ): Promise<number> {
   const client = new LoadClient();
   await runConcurrently(SHORT_REQUEST_COUNT, concurrency, async () => {
-    const { status } = await client.stream(deployment.getUrl(ENTRY_NAME), key, buildBody(1));
+    const { status } = await client.stream(deployment.getEntryUrl(ENTRY_NAME), key, buildBody(1));
     if (status !== 200) {
       throw new Error(`unexpected status ${status} of a short request, 200 is expected`);
     }
@@ -298,7 +298,7 @@
 
   private async _runStream(deployment: Deployment, key: string): Promise<void> {
     let hasStarted = false;
-    const url = deployment.getUrl(ENTRY_NAME);
+    const url = deployment.getEntryUrl(ENTRY_NAME);
     const times = await this._client.stream(url, key, buildBody(STREAM_TOKENS), (count) => {
       this._startedCount += hasStarted ? 0 : 1;
       hasStarted = true;
@@ -400,7 +400,7 @@
         {
           cpuPercent: limitDigits(((cpuMs - from.cpuMs) / IDLE_MEASUREMENT_MS) * 100, 1),
           bytesPerSecond: limitDigits(((bytes - from.bytes) / IDLE_MEASUREMENT_MS) * 1_000, 0),
-          residentMb: limitDigits(readMemoryMb(getPid(deployment, name)), 0),
+          residentMb: limitDigits(readResidentMemoryMb(getPid(deployment, name)), 0),
         },
       ] as const;
     });
--- a/tools/soak.ts
+++ b/tools/soak.ts
@@ -145,7 +145,7 @@
     }
     const probeKey = this._getProbeKey();
     for (const entry of deployment.listEntries()) {
-      await deployment.waitForAnswer(entry, probeKey.text);
+      await deployment.waitUntilServed(entry, probeKey.text);
     }
     report(`deployment serves; logs are in ${deployment.folder}`);
   }
--- a/tools/soak/Faults.ts
+++ b/tools/soak/Faults.ts
@@ -82,7 +82,7 @@
   let tookMs = Infinity;
   let lastAnswer = '';
   while (performance.now() - startedAt < REPAIR_TIMEOUT_MS) {
-    const answer = await sendCall(`${deployment.getUrl(entry)}/stock/linen`, {
+    const answer = await sendCall(`${deployment.getEntryUrl(entry)}/stock/linen`, {
       method: 'GET',
       headers: { authorization: `Bearer ${probeKey.text}` },
       timeoutMs: 1_000,
--- a/tools/soak/Invariants.ts
+++ b/tools/soak/Invariants.ts
@@ -61,7 +61,7 @@
   }
 
   /** Lists the invariants with fewer checks than the given minimum, below which a run proves nothing. */
-  public listUnproved(minChecks: Readonly<Record<T, number>>): readonly T[] {
+  public listInsufficientlyChecked(minChecks: Readonly<Record<T, number>>): readonly T[] {
     return [...this._counts].flatMap(([name, { checks }]) =>
       checks < minChecks[name] ? [name] : [],
     );
--- a/tools/soak/Load.ts
+++ b/tools/soak/Load.ts
@@ -261,7 +261,7 @@
   ): Promise<IRequestRecord> {
     const { deployment, records } = this._context;
     const entry = this._pickEntry();
-    const result = await sendCall(`${deployment.getUrl(entry)}${path}`, {
+    const result = await sendCall(`${deployment.getEntryUrl(entry)}${path}`, {
       ...options,
       headers: {
         'content-type': 'application/json',
