--- a/src/fleet/ConfigurationCheck.ts
+++ b/src/fleet/ConfigurationCheck.ts
@@ -5,8 +5,8 @@
  * Describes the first rule that the configuration breaks; undefined if it is valid.
  *
  * @example
- * const fault = checkConfiguration(configuration);
- * if (fault !== undefined) respond(400, fault);
+ * const problem = checkConfiguration(configuration);
+ * if (problem !== undefined) respond(400, problem);
  */
 export function checkConfiguration(configuration: IFleetConfiguration): string | undefined {
   if (!Number.isSafeInteger(configuration.version) || configuration.version < 0) {
@@ -14,20 +14,20 @@
   }
   const services = new Set(configuration.services.map((service) => service.name));
   return (
-    findRouteFault(configuration.routes, services) ??
+    findRouteProblem(configuration.routes, services) ??
     findSharedKey(configuration.clientAccounts ?? [])
   );
 }
 
-function findRouteFault(
+function findRouteProblem(
   routes: readonly IRoute[],
   services: ReadonlySet<string>,
 ): string | undefined {
   const routeKeys = new Set<string>();
   for (const route of routes) {
-    const fault = checkRoute(route, services);
-    if (fault !== undefined) {
-      return `route ${JSON.stringify(route.name)}: ${fault}`;
+    const problem = checkRoute(route, services);
+    if (problem !== undefined) {
+      return `route ${JSON.stringify(route.name)}: ${problem}`;
     }
     const routeKey = `${route.host} ${route.pathPrefix}`;
     if (routeKeys.has(routeKey)) {
--- a/src/fleet/FleetHub.ts
+++ b/src/fleet/FleetHub.ts
@@ -102,7 +102,7 @@
     }
   }
 
-  /** Stores an announcement; false if a later one of the same target is known already. */
+  /** Stores an announcement; false if it is not later than the stored one of the same target. */
   public announce(record: TargetRecord, now: number): boolean {
     const existing = this._targets.get(record.id);
     const seenAt = now - record.ageMs;
@@ -233,10 +233,10 @@
   ): Pick<QuotaGrant, 'clientAccount' | 'tokens' | 'waitMs'>[] {
     return quotas.flatMap(({ clientAccount, held, wanted, spent }) => {
       const pool = this._ensurePool(clientAccount);
-      const use = { held, spent };
+      const usage = { held, spent };
       return pool === undefined
         ? []
-        : [{ clientAccount, ...pool.exchange(`${node}/${incarnation}`, use, wanted, now) }];
+        : [{ clientAccount, ...pool.exchange(`${node}/${incarnation}`, usage, wanted, now) }];
     });
   }
 
--- a/src/fleet/FleetNode.ts
+++ b/src/fleet/FleetNode.ts
@@ -107,7 +107,7 @@
   | { readonly kind: 'unsure'; readonly reason: string };
 
 /**
- * Keeps one process in step with the fleet: exchanges reports with the leader, forwards announcements and
+ * Keeps one process in sync with the fleet: exchanges reports with the leader, forwards announcements and
  * changes to it, reads the document with a majority's confirmation, and answers other processes.
  */
 export class FleetNode {
@@ -441,13 +441,16 @@
   /** Searches for the leader; undefined if no asked process knows a leader other than this process. */
   private async _findLeader(signal: AbortSignal): Promise<string | undefined> {
     const candidates = this._listLeaderCandidates().slice(0, MAX_DISCOVERY_CALLS);
-    const ask = async (address: string, limited: AbortSignal): Promise<ILeaderHint | undefined> => {
+    const queryProcess = async (
+      address: string,
+      limited: AbortSignal,
+    ): Promise<ILeaderHint | undefined> => {
       const answer = await this._sendMembershipNotice(address, [], limited);
       this._members = answer?.members.length ? answer.members : this._members;
       return answer;
     };
     const leader = await runWithTimeout(signal, DISCOVERY_TIMEOUT_MS, (limited) =>
-      findLeader(candidates, ask, limited),
+      findLeader(candidates, queryProcess, limited),
     );
     return leader === this._options.address ? undefined : leader;
   }
@@ -565,13 +568,13 @@
   /** Calls one process after the other until one answers as the leader; else returns the last reason. */
   private async _queryLeader<T>(
     signal: AbortSignal,
-    ask: (client: Client<typeof FleetService>, limited: AbortSignal) => Promise<T | string>,
+    callProcess: (client: Client<typeof FleetService>, limited: AbortSignal) => Promise<T | string>,
   ): Promise<T | string> {
     let reason = 'no leader is known';
     for (const address of this._listLeaderCandidates()) {
       try {
         const answer = await runWithTimeout(signal, EXCHANGE_TIMEOUT_MS, (limited) =>
-          ask(this._rpc.get(FleetService, address), limited),
+          callProcess(this._rpc.get(FleetService, address), limited),
         );
         if (typeof answer !== 'string') {
           return answer;
--- a/src/fleet/LeaderSearch.test.ts
+++ b/src/fleet/LeaderSearch.test.ts
@@ -20,14 +20,14 @@
 describe('findLeader after a simultaneous stop', () => {
   it('returns the leader without waiting for processes that are still down', async () => {
     const startedAt = performance.now();
-    const ask = buildQuery({ c: 'c', d: '' });
-    expect(await findLeader(['a', 'b', 'c', 'd'], ask, SIGNAL)).toBe('c');
+    const query = buildQuery({ c: 'c', d: '' });
+    expect(await findLeader(['a', 'b', 'c', 'd'], query, SIGNAL)).toBe('c');
     expect(performance.now() - startedAt).toBeLessThan(1_000);
   });
 
   it('returns the reported leader at the timeout if no process has answered as leader', async () => {
-    const ask = buildQuery({ b: 'c' });
-    expect(await findLeader(['a', 'b'], ask, AbortSignal.timeout(50))).toBe('c');
+    const query = buildQuery({ b: 'c' });
+    expect(await findLeader(['a', 'b'], query, AbortSignal.timeout(50))).toBe('c');
   });
 
   it('returns undefined if no process knows a leader', async () => {
--- a/src/fleet/QuotaPool.ts
+++ b/src/fleet/QuotaPool.ts
@@ -9,7 +9,7 @@
  */
 const WARM_UP_MS = 500;
 
-/** Least number of entries that a new hub assumes to share the limit, as the real one is not known yet. */
+/** Entries among which a new hub divides the limit, since it does not know their number yet. */
 const WARM_UP_ENTRIES = 8;
 
 /**
@@ -55,20 +55,22 @@
   }
 
   /** Records an entry's report and grants what it lacks up to `wanted`, as far as the window allows. */
-  public exchange(entry: string, use: IQuotaUsage, wanted: number, now: number): IQuotaDecision {
-    this._usageByEntry.set(entry, { ...use, at: now });
-    const requested = Math.max(0, wanted - use.held);
+  public exchange(entry: string, usage: IQuotaUsage, wanted: number, now: number): IQuotaDecision {
+    this._usageByEntry.set(entry, { ...usage, at: now });
+    const requested = Math.max(0, wanted - usage.held);
     const isWarmingUp = now - this._startedAt < WARM_UP_MS;
     const limit = this._computeLimit(now);
     const available = Math.max(
       0,
-      isWarmingUp ? limit / WARM_UP_ENTRIES - use.held - use.spent : limit - this._sumUsage(now),
+      isWarmingUp
+        ? limit / WARM_UP_ENTRIES - usage.held - usage.spent
+        : limit - this._sumUsage(now),
     );
     const tokens = Math.min(
       requested,
       requested <= available * MAX_GRANT_FRACTION ? available : available * MAX_GRANT_FRACTION,
     );
-    this._usageByEntry.set(entry, { held: use.held + tokens, spent: use.spent, at: now });
+    this._usageByEntry.set(entry, { held: usage.held + tokens, spent: usage.spent, at: now });
     const shortfall = requested - tokens;
     return {
       tokens,
--- a/src/fleet/RecentReadings.ts
+++ b/src/fleet/RecentReadings.ts
@@ -1,4 +1,4 @@
-/** The hub's list of the targets that have read large prompt parts lately. */
+/** The hub's list of the targets that have computed large prompt parts lately. */
 import type { PromptReading } from '../gen/redwingwharf/v1/fleet_pb.js';
 
 /** At 200 readings a second these cover the last 10 s, within which engines evict most prompt parts. */
--- a/src/fleet/Types.ts
+++ b/src/fleet/Types.ts
@@ -2,8 +2,8 @@
 import type { IFailure, Result } from '../common/Result.js';
 
 /**
- * Whether requests of a route may be retried after a target may have run them; `streaming` ones answer with
- * events.
+ * Whether a request may be retried after a target may have run it: `safe` ones may, `unsafe` ones may not, and
+ * `streaming` ones, whose answer is a stream of events, may if the route is resumable.
  */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
 
@@ -27,7 +27,7 @@
   /** Priority class; 0 is the highest. */
   readonly priority: number;
   readonly shares: readonly IRouteShare[];
-  /** Most attempts of one request, each at a target. */
+  /** Most attempts of one request, each at another target; unreachable targets do not count. */
   readonly maxAttempts: number;
   /** True: requests need no key. */
   readonly isPublic: boolean;
@@ -71,7 +71,7 @@
   readonly tokensPerSecond: number;
   /** Tokens that may be spent in addition to the rate within one window. */
   readonly burstTokens: number;
-  /** Tokens charged for a request that does not state its output limit. */
+  /** Tokens charged for a request that states neither prompt nor output tokens. */
   readonly defaultTokens: number;
 }
 
--- a/src/gateway/CallRunner.test.ts
+++ b/src/gateway/CallRunner.test.ts
@@ -198,7 +198,7 @@
 const refuseConnection: TargetScript = (listener) => {
   listener.onError('connection refused', false);
 };
-const staySilent: TargetScript = () => undefined;
+const sendNothing: TargetScript = () => undefined;
 
 const UNSAFE: Partial<IRoute> = { kind: 'unsafe', isResumable: false, maxAttempts: 3 };
 
@@ -260,28 +260,28 @@
   });
 
   it('resumes a broken stream at another target after the last complete event', async () => {
-    const breakMidway: TargetScript = (listener) => {
+    const failMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents(1, 2));
       listener.onData(Buffer.from('id: 3\nda'));
       listener.onError('reset', true);
     };
-    const goOn: TargetScript = (listener, dispatch) => {
+    const resumeStream: TargetScript = (listener, dispatch) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents((dispatch.resumeAfter ?? 0) + 1, 5));
       listener.onEnd();
     };
-    const { sink } = await runCall([breakMidway, goOn]);
+    const { sink } = await runCall([failMidway, resumeStream]);
     expect(sink).toMatchObject({ body: streamEvents(1, 5).toString(), ending: 'end' });
   });
 
   it('aborts a broken stream if the route is not resumable', async () => {
-    const breakMidway: TargetScript = (listener) => {
+    const failMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(streamEvents(1, 2));
       listener.onError('reset', true);
     };
-    const { sink, targets } = await runCall([breakMidway, answerOk], {
+    const { sink, targets } = await runCall([failMidway, answerOk], {
       route: { isResumable: false },
     });
     expect(targets.sent).toHaveLength(1);
@@ -289,7 +289,7 @@
   });
 
   it('does not concatenate parts of two responses to a safe request', async () => {
-    const breakMidway: TargetScript = (listener) => {
+    const failMidway: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(Buffer.from('half of'));
       listener.onError('reset', true);
@@ -299,17 +299,17 @@
       listener.onData(Buffer.from('the whole'));
       listener.onEnd();
     };
-    const { sink } = await runCall([breakMidway, answerWhole], { route: { kind: 'safe' } });
+    const { sink } = await runCall([failMidway, answerWhole], { route: { kind: 'safe' } });
     expect(sink).toMatchObject({ status: 200, body: 'the whole', ending: 'end' });
   });
 
   it('aborts a response to a safe request that breaks after it has exceeded the buffer', async () => {
-    const breakLate: TargetScript = (listener) => {
+    const failLate: TargetScript = (listener) => {
       listener.onHead(OK_HEAD);
       listener.onData(Buffer.alloc(100_000));
       listener.onError('reset', true);
     };
-    const { sink, targets } = await runCall([breakLate, answerOk], { route: { kind: 'safe' } });
+    const { sink, targets } = await runCall([failLate, answerOk], { route: { kind: 'safe' } });
     expect(targets.sent).toHaveLength(1);
     expect(sink.ending).toBe('cut');
   });
@@ -326,7 +326,7 @@
   });
 
   it('responds with 504 at the deadline and cancels the request at the target', async () => {
-    const { sink, targets } = await runCall([staySilent], { call: { deadlineMs: 60 } });
+    const { sink, targets } = await runCall([sendNothing], { call: { deadlineMs: 60 } });
     expect(sink).toMatchObject({ status: 504, ending: 'refuse' });
     expect(targets.aborted).toBe(1);
   });
@@ -337,11 +337,13 @@
   });
 
   it('cancels the request at the target when the client disconnects', async () => {
-    const left = new AbortController();
+    const disconnection = new AbortController();
     setTimeout(() => {
-      left.abort();
+      disconnection.abort();
     }, 20);
-    const { sink, targets } = await runCall([staySilent], { call: { signal: left.signal } });
+    const { sink, targets } = await runCall([sendNothing], {
+      call: { signal: disconnection.signal },
+    });
     expect(targets.aborted).toBe(1);
     expect(sink.ending).toBe('open');
   });
--- a/src/gateway/EventFramer.test.ts
+++ b/src/gateway/EventFramer.test.ts
@@ -15,16 +15,16 @@
       fc.property(fc.array(fc.nat({ max: text.length }), { maxLength: 12 }), (cuts) => {
         const framer = new EventFramer();
         const points = [0, ...cuts.sort((left, right) => left - right), text.length];
-        let passed = '';
+        let relayed = '';
         let lastId: number | undefined;
         for (let i = 1; i < points.length; i += 1) {
           const framed = framer.push(Buffer.from(text.slice(points[i - 1], points[i])));
-          passed += framed.bytes.toString();
+          relayed += framed.bytes.toString();
           lastId = framed.lastId ?? lastId;
           const whole = EVENTS.map((_, count) => EVENTS.slice(0, count).join(''));
-          expect([...whole, text]).toContain(passed);
+          expect([...whole, text]).toContain(relayed);
         }
-        expect(passed).toBe(text);
+        expect(relayed).toBe(text);
         expect(lastId).toBe(3);
       }),
     );
--- a/src/gateway/Overload.ts
+++ b/src/gateway/Overload.ts
@@ -33,22 +33,22 @@
  * @param serviceMs the part of `expectedMs` that the request takes on an idle target
  *
  * @example
- * const decision = decideOverload(placement.expectedMs, placement.serviceMs, route.objectiveMs);
+ * const decision = decideOverload(placement.expectedMs, placement.serviceMs, route.latencyObjectiveMs);
  */
 export function decideOverload(
   expectedMs: number,
   serviceMs: number,
-  objectiveMs: number,
+  latencyObjectiveMs: number,
 ): OverloadDecision {
   const limitMs = Math.max(
-    objectiveMs * MAX_EXPECTED_FACTOR,
-    serviceMs + objectiveMs * MAX_WAIT_FACTOR,
+    latencyObjectiveMs * MAX_EXPECTED_FACTOR,
+    serviceMs + latencyObjectiveMs * MAX_WAIT_FACTOR,
   );
   if (expectedMs <= limitMs) {
     return { kind: 'serve' };
   }
   // The target must first work off the backlog that exceeds the objective.
-  const backlogMs = expectedMs - objectiveMs;
+  const backlogMs = expectedMs - latencyObjectiveMs;
   return {
     kind: 'refuse',
     retryAfterMs: Math.min(
--- a/src/gateway/Placement.test.ts
+++ b/src/gateway/Placement.test.ts
@@ -177,16 +177,16 @@
       const targets = buildTargets(6, 13).map((target) => loadNewerWeights(target, 0));
       const placement = new Placement('zg-a');
       const home = placement.choose(request, targets, EMPTY_STORE, 100)?.target.id;
-      const reader = targets.find(({ record }) => record.id !== home)?.record;
+      const holder = targets.find(({ record }) => record.id !== home)?.record;
       const others = new PromptHolders();
-      others.recordReading(request, updateRecord(reader, {}), 0);
+      others.recordReading(request, updateRecord(holder, {}), 0);
       const reported = others.takeUnreported();
       expect(reported).toHaveLength(2);
       const holders = new PromptHolders();
       holders.addReported(reported, 100);
-      const full = updateTarget(targets, reader?.id, { othersPendingTokens: 40_000 });
+      const full = updateTarget(targets, holder?.id, { othersPendingTokens: 40_000 });
       const chosen = new Placement('zg-a', holders).choose(request, full, EMPTY_STORE, 150);
-      expect(getSourceId(chosen)).toBe(reader?.id);
+      expect(getSourceId(chosen)).toBe(holder?.id);
       expect(chosen?.missedTokens).toBe(0);
     });
 
@@ -198,11 +198,11 @@
       const stored = placement.choose(request, targets, fullStore, 0);
       expect(stored?.target.id).toBe(home?.id);
       expect(stored?.source?.kind).toBe('store');
-      const reader = targets.find(({ record }) => record.id !== home?.id)?.record;
-      placement.recordReading(request, updateRecord(reader, {}), 0);
+      const holder = targets.find(({ record }) => record.id !== home?.id)?.record;
+      placement.recordReading(request, updateRecord(holder, {}), 0);
       const seen = placement.choose(request, targets, EMPTY_STORE, 100);
       expect(seen?.target.id).toBe(home?.id);
-      expect(getSourceId(seen)).toBe(reader?.id);
+      expect(getSourceId(seen)).toBe(holder?.id);
     });
 
     it('reports a repeated reading to other entries once in two seconds', () => {
@@ -222,12 +222,12 @@
       const placement = new Placement('zg-a');
       const [standard, , own] = request.parts;
       const other = { ...request, parts: [standard, { id: 'other', tokens: 10 }, own] };
-      const reader = placement.choose(request, targets, EMPTY_STORE, 5_000)?.target.id;
-      const seen = targets.find(({ record }) => record.id !== reader)?.record;
-      placement.recordReading(other as IPlacementRequest, updateRecord(seen, {}), 4_900);
+      const home = placement.choose(request, targets, EMPTY_STORE, 5_000)?.target.id;
+      const holder = targets.find(({ record }) => record.id !== home)?.record;
+      placement.recordReading(other as IPlacementRequest, updateRecord(holder, {}), 4_900);
       const chosen = placement.choose(request, targets, EMPTY_STORE, 5_000);
-      expect(chosen?.target.id).toBe(reader);
-      expect(getSourceId(chosen)).toBe(seen?.id);
+      expect(chosen?.target.id).toBe(home);
+      expect(getSourceId(chosen)).toBe(holder?.id);
     });
   });
 
@@ -264,7 +264,7 @@
     expect(chosen?.target.id).not.toBe(home?.id);
   });
 
-  it('avoids a target that is about to load weights for a long stream', () => {
+  it('sends no long stream to a target that is about to load weights', () => {
     const targets = buildTargets(3, 7);
     const request = buildRequest({ parts: [], outputTokens: 300 });
     const placement = new Placement('zg-a');
--- a/src/gateway/Placement.ts
+++ b/src/gateway/Placement.ts
@@ -234,9 +234,9 @@
 }
 
 /** 0 up to `LATENESS_START_RATIO` of the objective, 1 at `LATENESS_FULL_RATIO`, quadratic also beyond. */
-function computeLatenessCost(expectedMs: number, objectiveMs: number): number {
+function computeLatenessCost(expectedMs: number, latencyObjectiveMs: number): number {
   const lateness =
-    (expectedMs / Math.max(1, objectiveMs) - LATENESS_START_RATIO) /
+    (expectedMs / Math.max(1, latencyObjectiveMs) - LATENESS_START_RATIO) /
     (LATENESS_FULL_RATIO - LATENESS_START_RATIO);
   return lateness <= 0 ? 0 : lateness * lateness;
 }
--- a/src/gateway/PromptHolders.ts
+++ b/src/gateway/PromptHolders.ts
@@ -37,7 +37,7 @@
 /** Readings that wait for the next exchange with the hub; while no hub answers, the oldest are dropped. */
 const MAX_UNREPORTED = 200;
 
-/** Evidence that one run of a target computed a prompt part with one weights version. */
+/** Evidence that one incarnation of a target computed a prompt part with one weights version. */
 interface IReading {
   readonly born: number;
   readonly version: number;
@@ -228,8 +228,8 @@
 }
 
 /**
- * Includes the model and the isolation key, so that their parts differ. A collision is rare and costs one
- * fetch that finds nothing.
+ * Includes the model and the isolation key, so that parts for different models or keys have different hashes.
+ * A collision is rare and costs one fetch that finds nothing.
  */
 function hashPart(request: IPlacementRequest, part: IPromptPart): number {
   return hashText(`${request.model ?? ''}/${request.isolationKey ?? ''}/${part.id}`);
--- a/src/gateway/PromptSources.ts
+++ b/src/gateway/PromptSources.ts
@@ -61,7 +61,7 @@
     transferredTokens: 0,
     missedTokens: totalTokens - heldTokens,
   };
-  const consider = (source: PromptSource, chances: readonly number[]): void => {
+  const trySource = (source: PromptSource, chances: readonly number[]): void => {
     const combinedTokens = sumExpectedTokens(parts, mergeChances(holding.chances, chances));
     if (
       combinedTokens - heldTokens >= MIN_GAINED_TOKENS &&
@@ -78,14 +78,14 @@
   // Of equal sources the first wins: targets seen to hold the parts, whose links are faster than the
   // store's, then the store, and last the targets that are only assumed to hold them.
   for (const other of others.filter(({ seenParts }) => seenParts > 0)) {
-    consider({ kind: 'target', record: other.target.record }, other.chances);
+    trySource({ kind: 'target', record: other.target.record }, other.chances);
   }
-  consider(
+  trySource(
     { kind: 'store' },
     parts.map((_, i) => (i < storedParts ? 1 : 0)),
   );
   for (const other of others.filter(({ seenParts }) => seenParts === 0)) {
-    consider({ kind: 'target', record: other.target.record }, other.chances);
+    trySource({ kind: 'target', record: other.target.record }, other.chances);
   }
   // The target may have evicted what it is expected to hold, and an unused source costs nothing.
   return { ...best, source: best.source ?? pickFallback(others, storedParts) };
--- a/src/gateway/StoreIndex.ts
+++ b/src/gateway/StoreIndex.ts
@@ -7,7 +7,7 @@
 /** Time for which the store keeps a long poll open while there are no events. */
 const LONG_POLL_MS = 1_000;
 
-/** Includes 400 ms beyond the long poll for the round trip and the store's own delay. */
+/** Timeout of one poll; it leaves 400 ms beyond the long poll for the round trip. */
 const POLL_TIMEOUT_MS = LONG_POLL_MS + 400;
 
 /** A store with a steady flow of events answers at once; without an interval it would be polled in a loop. */
--- a/src/gateway/TargetStates.ts
+++ b/src/gateway/TargetStates.ts
@@ -27,7 +27,7 @@
 /** Without new samples the slowness of a target decays towards 1 with this time constant. */
 const SLOWNESS_TIME_CONSTANT_MS = 4_000;
 
-/** State of one run of a target; a restart creates a new one. */
+/** State of one incarnation of a target; a restart begins a new one. */
 export interface ITargetState {
   readonly born: number;
   /** Hash of the address, for rendezvous hashing. */
@@ -56,7 +56,7 @@
 export class TargetStates {
   private readonly _states = new Map<string, ITargetState>();
 
-  /** Returns the state of the current run of the target, and creates it if there is none. */
+  /** Returns the state of the target's current incarnation, and creates it if there is none. */
   public ensure(target: TargetRecord, now: number): ITargetState {
     const weights = target.models.map(({ name, version }) => `${name}@${version}`).join();
     let state = this._states.get(target.id);
--- a/src/policy/DefaultPolicy.ts
+++ b/src/policy/DefaultPolicy.ts
@@ -34,7 +34,7 @@
 
 /** Costs that exceed the smallest by no more than the larger of these two count as equal. */
 const TIE_TOLERANCE_MS = 5;
-const TIE_TOLERANCE_SHARE = 0.03;
+const TIE_TOLERANCE_FRACTION = 0.03;
 
 /**
  * Penalty for a target that is neither home target nor holder, as a multiple of its prefill time. The
@@ -75,7 +75,7 @@
   readonly cost: number;
 }
 
-interface IDispatch {
+interface IDispatchRecord {
   readonly request: IRouteRequest;
   readonly target: ITargetView;
   /** Ages of the evidence at the dispatch, chunk by chunk. */
@@ -101,7 +101,7 @@
   private readonly _estimator: Estimator;
   /** Number of refusals by busy targets for each open request. */
   private readonly _refusals = new Map<string, number>();
-  private readonly _dispatches = new Map<string, IDispatch>();
+  private readonly _dispatches = new Map<string, IDispatchRecord>();
   private readonly _getLifetime = (targetId: string): number => this._lifetimes.get(targetId);
 
   constructor(options: IDefaultPolicyOptions) {
@@ -172,7 +172,7 @@
     const dispatch = this._dispatches.get(requestId);
     if (dispatch !== undefined) {
       this._dispatches.delete(requestId);
-      this._index.forget(dispatch.target, dispatch.request.chain);
+      this._index.removeChunks(dispatch.target, dispatch.request.chain);
     }
   }
 
@@ -183,12 +183,12 @@
       this._dispatches.delete(requestId);
       this._recordRefusal(requestId);
       const cachedChunks = Math.floor(receipt.cachedPromptTokens / CHUNK_TOKENS);
-      this._index.forget(dispatch.target, dispatch.request.chain, cachedChunks);
+      this._index.removeChunks(dispatch.target, dispatch.request.chain, cachedChunks);
     }
   }
 
   public override onEvicted(target: ITargetView, hashes: readonly ChainHash[]): void {
-    this._index.forget(target, hashes);
+    this._index.removeChunks(target, hashes);
   }
 
   public override onCached(target: ITargetView, hashes: readonly ChainHash[], now: number): void {
@@ -289,7 +289,8 @@
   /** Power of two choices among the targets whose costs count as equal to the smallest. */
   private _pickBest(scored: readonly IScoredTarget[]): IScoredTarget {
     const cheapest = scored.reduce((a, b) => (b.cost < a.cost ? b : a));
-    const limit = cheapest.cost + Math.max(TIE_TOLERANCE_MS, cheapest.cost * TIE_TOLERANCE_SHARE);
+    const limit =
+      cheapest.cost + Math.max(TIE_TOLERANCE_MS, cheapest.cost * TIE_TOLERANCE_FRACTION);
     const tied = scored.filter((item) => item.cost <= limit);
     const first = tied[Math.floor(this._random() * tied.length)] ?? cheapest;
     const second = tied[Math.floor(this._random() * tied.length)] ?? cheapest;
--- a/src/policy/LoadView.ts
+++ b/src/policy/LoadView.ts
@@ -5,7 +5,7 @@
  * Fraction of the reported queue of other entries that counts towards the wait: a report is on average half
  * an interval old, and some of the prompts queued then have been computed.
  */
-const OTHERS_QUEUE_SHARE = 0.5;
+const OTHERS_QUEUE_FRACTION = 0.5;
 
 interface ITargetLoad {
   reportedAt: number;
@@ -136,7 +136,7 @@
       return state.othersWaitMs - othersElapsedMs + estimateOwnWait(state, now - othersElapsedMs);
     }
     const ownWaitMs = estimateOwnWait(state, now);
-    return ownWaitMs + OTHERS_QUEUE_SHARE * state.othersQueued * serviceMs;
+    return ownWaitMs + OTHERS_QUEUE_FRACTION * state.othersQueued * serviceMs;
   }
 
   /** Number of requests that generate output, from the last report. */
--- a/src/policy/PrefixHomes.ts
+++ b/src/policy/PrefixHomes.ts
@@ -3,7 +3,7 @@
 import { hashText, type TargetTable } from './TargetTable.js';
 import type { ChainHash } from './Types.js';
 
-/** Home targets that a prefix gets for each average target's share of the requests. */
+/** Home targets that a prefix gets for each fraction `1 / targets` of the requests. */
 const HOMES_PER_TARGET_SHARE = 1;
 
 /** Maximum number of home targets of a prefix. */
--- a/src/policy/PrefixIndex.test.ts
+++ b/src/policy/PrefixIndex.test.ts
@@ -30,7 +30,7 @@
     const index = new PrefixIndex();
     const target = createTarget('t');
     index.record(target, CHAIN, 4, 0);
-    index.forget(target, CHAIN.slice(2, 3));
+    index.removeChunks(target, CHAIN.slice(2, 3));
     expect(index.match(CHAIN, 1, FOREVER)).toEqual([{ targetId: 't', chunks: 2 }]);
   });
 
--- a/src/policy/PrefixIndex.ts
+++ b/src/policy/PrefixIndex.ts
@@ -88,7 +88,7 @@
   }
 
   /** Removes the evidence of the chunks from position `fromChunk` on. */
-  public forget(target: ITargetView, chain: readonly ChainHash[], fromChunk = 0): void {
+  public removeChunks(target: ITargetView, chain: readonly ChainHash[], fromChunk = 0): void {
     const holder = this._findHolder(target);
     if (holder === undefined) {
       return;
--- a/src/policy/RoundRobin.ts
+++ b/src/policy/RoundRobin.ts
@@ -7,7 +7,7 @@
   public readonly name = 'round-robin';
   private _nextPosition: number;
 
-  /** @param start position of the first target; differs between entries so that they do not send in step */
+  /** @param start position of the first target; if it differs between entries, they send to different targets */
   constructor(start = 0) {
     super();
     this._nextPosition = start;
--- a/src/policy/TargetTable.ts
+++ b/src/policy/TargetTable.ts
@@ -98,12 +98,12 @@
   score: number,
   count: number,
 ): void {
-  let place = best.length;
-  while (place > 0 && (scores[place - 1] ?? 0) < score) {
-    place -= 1;
+  let rank = best.length;
+  while (rank > 0 && (scores[rank - 1] ?? 0) < score) {
+    rank -= 1;
   }
-  best.splice(place, 0, position);
-  scores.splice(place, 0, score);
+  best.splice(rank, 0, position);
+  scores.splice(rank, 0, score);
   if (best.length > count) {
     best.pop();
     scores.pop();
