--- a/src/entry/Authenticate.test.ts
+++ b/src/entry/Authenticate.test.ts
@@ -14,9 +14,12 @@
 
 const KEY = createCallerKey('pag');
 
-function createDirectory(withdrawn: boolean): { feed: FeedCopy; directory: ConfigurationIndex } {
+function createConfiguration(withdrawn: boolean): {
+  feed: FeedCopy;
+  configuration: ConfigurationIndex;
+} {
   const feed = new FeedCopy();
-  const directory = new ConfigurationIndex(feed);
+  const configuration = new ConfigurationIndex(feed);
   const account = create(ClientAccountSchema, { id: 'pag', services: ['lace'] });
   const record = { ...KEY.record, withdrawn };
   const items = [
@@ -25,7 +28,7 @@
   ].map((item) => create(ItemSchema, { ...item, revision: 1n }));
   const response = create(SyncResponseSchema, { revision: 1n, items, full: true, ageMs: 0 });
   feed.applyResponse(response, 0);
-  return { feed, directory };
+  return { feed, configuration };
 }
 
 function authenticateWith(
@@ -34,8 +37,8 @@
   now = 0,
   withdrawn = false,
 ): string {
-  const { feed, directory } = createDirectory(withdrawn);
-  const result = authenticate(headers, new URLSearchParams(query), directory, feed, now);
+  const { feed, configuration } = createConfiguration(withdrawn);
+  const result = authenticate(headers, new URLSearchParams(query), configuration, feed, now);
   return result.ok ? result.val.account.id : result.val.code;
 }
 
--- a/src/entry/Authenticate.ts
+++ b/src/entry/Authenticate.ts
@@ -28,7 +28,7 @@
 export function authenticate(
   headers: IncomingHttpHeaders,
   query: URLSearchParams,
-  directory: ConfigurationIndex,
+  configuration: ConfigurationIndex,
   feed: IFeed,
   now: number,
 ): Result<ICaller, IHttpFailure> {
@@ -45,16 +45,16 @@
     const message = 'This instance cannot confirm keys at the moment; try again.';
     return Err(createRefusal('freshness_unknown', message, FRESHNESS_RETRY_AFTER_MS));
   }
-  return checkKey(keyText, directory);
+  return checkKey(keyText, configuration);
 }
 
 /** True while the key may be used. Also used to check the requests in progress. */
-export function isKeyValid(caller: ICaller, directory: ConfigurationIndex): boolean {
-  const record = directory.getKey(caller.keyId);
+export function isKeyValid(caller: ICaller, configuration: ConfigurationIndex): boolean {
+  const record = configuration.getKey(caller.keyId);
   return (
     record?.withdrawn === false &&
     record.clientAccount === caller.account.id &&
-    directory.getAccount(caller.account.id) !== undefined
+    configuration.getAccount(caller.account.id) !== undefined
   );
 }
 
@@ -77,11 +77,14 @@
   return text === '' ? url.pathname : `${url.pathname}?${text}`;
 }
 
-function checkKey(keyText: string, directory: ConfigurationIndex): Result<ICaller, IHttpFailure> {
+function checkKey(
+  keyText: string,
+  configuration: ConfigurationIndex,
+): Result<ICaller, IHttpFailure> {
   const key = parseCallerKey(keyText);
-  const record = key === undefined ? undefined : directory.getKey(key.keyId);
+  const record = key === undefined ? undefined : configuration.getKey(key.keyId);
   const isValid = verifyCallerKey(record, key?.secret ?? '');
-  const account = directory.getAccount(record?.clientAccount ?? '');
+  const account = configuration.getAccount(record?.clientAccount ?? '');
   if (!isValid || key === undefined || account === undefined) {
     const message = 'The key is unknown or withdrawn; ask the operator for a new one.';
     return Err(createRefusal('key_invalid', message));
--- a/src/entry/ConfigurationIndex.ts
+++ b/src/entry/ConfigurationIndex.ts
@@ -24,8 +24,8 @@
  * Holds the services, client accounts and keys of the configuration in decoded form, and looks them up.
  *
  * @example
- * const directory = new Directory(feed);
- * directory.findRoute('/orders/17');
+ * const configuration = new ConfigurationIndex(feed);
+ * configuration.findRoute('/orders/17');
  */
 export class ConfigurationIndex implements IDisposable {
   private readonly _services = new Map<string, Service>();
--- a/src/entry/EdgeClaims.test.ts
+++ b/src/entry/EdgeClaims.test.ts
@@ -86,11 +86,11 @@
 
   it('continues after the caller disconnects, so that a repeated request gets the answer', async () => {
     const order = { order: 'left', delayMs: 300 };
-    const leaving = await harness.startAndLeave('/orders', {
+    const outcome = await harness.startAndDisconnect('/orders', {
       ...{ method: 'POST', headers: { 'idempotency-key': 'left-1' }, body: JSON.stringify(order) },
-      leaveWhen: async () => (await harness.countEffects('left')) === 1,
+      disconnectWhen: async () => (await harness.countEffects('left')) === 1,
     });
-    expect(leaving).toBe('left');
+    expect(outcome).toBe('left');
     await waitFor('the recorded answer', async () => {
       const resent = await harness.placeOrder(order, 'left-1', { entry: 1 });
       return resent.status === 201 && resent.headers['x-rww-replayed'] === 'true';
--- a/src/entry/EdgeHarness.ts
+++ b/src/entry/EdgeHarness.ts
@@ -236,17 +236,17 @@
   }
 
   /** Sends a request and breaks the connection as soon as the condition holds. */
-  public async startAndLeave(
+  public async startAndDisconnect(
     path: string,
-    init: ICallInit & { readonly leaveWhen: () => boolean | Promise<boolean> },
+    init: ICallInit & { readonly disconnectWhen: () => boolean | Promise<boolean> },
   ): Promise<'left' | 'answered'> {
-    const leaving = new AbortController();
-    const answer = this.open(path, { ...init, signal: leaving.signal }).then(
+    const controller = new AbortController();
+    const answer = this.open(path, { ...init, signal: controller.signal }).then(
       () => 'answered' as const,
       () => 'left' as const,
     );
-    await waitFor('the condition to leave', init.leaveWhen);
-    leaving.abort();
+    await waitFor('the condition to disconnect', init.disconnectWhen);
+    controller.abort();
     return answer;
   }
 
--- a/src/entry/EdgeHttp.test.ts
+++ b/src/entry/EdgeHttp.test.ts
@@ -146,7 +146,7 @@
     await expectHealthy();
   });
 
-  it('refuses requests that are too large or malformed with the matching status', async () => {
+  it('refuses malformed and too large requests with the matching status', async () => {
     const large = 9 * 1024 * 1024;
     const chunk = `100000\r\n${'x'.repeat(0x100000)}\r\n`;
     const chunked = { 'transfer-encoding': 'chunked' };
--- a/src/entry/EdgeKeys.test.ts
+++ b/src/entry/EdgeKeys.test.ts
@@ -40,7 +40,7 @@
     },
   );
 
-  it('does not forward a key that was sent in another place than the accepted ones', async () => {
+  it('does not forward a key that was sent in a place where keys are not accepted', async () => {
     harness.receivedRequests.length = 0;
     const { key } = harness;
     const encoded = key.replaceAll('_', '%5F');
--- a/src/entry/Entry.ts
+++ b/src/entry/Entry.ts
@@ -83,7 +83,7 @@
  * before a shutdown.
  *
  * @example
- * const entry = new Entry('127.0.0.1:8080', directory, openRequests, flows, services);
+ * const entry = new Entry('127.0.0.1:8080', configuration, openRequests, flows, services);
  * await entry.listen();
  */
 export class Entry {
@@ -97,7 +97,7 @@
 
   constructor(
     private readonly _address: string,
-    private readonly _directory: ConfigurationIndex,
+    private readonly _configuration: ConfigurationIndex,
     private readonly _openRequests: OpenRequests,
     private readonly _flows: IEntryFlows,
     private readonly _services: IFlowServices,
@@ -287,7 +287,7 @@
     if (path === '/v1/models') {
       return method === 'GET' ? Ok({ kind: 'models' }) : Err(describeMethodNotAllowed('GET'));
     }
-    const match = this._directory.findRoute(path);
+    const match = this._configuration.findRoute(path);
     if (match === undefined) {
       return Err(createRefusal('route_unknown', 'No service has this path; check the path.'));
     }
@@ -310,7 +310,7 @@
     const caller = authenticate(
       request.headers,
       url.searchParams,
-      this._directory,
+      this._configuration,
       this._services.feed,
       this._services.clock.now(),
     );
@@ -337,7 +337,7 @@
     if (model.err) {
       return model.val;
     }
-    const service = this._directory.findModelService(model.val.model);
+    const service = this._configuration.findModelService(model.val.model);
     if (service === undefined || caller === undefined) {
       return createRefusal(
         'model_unknown',
@@ -387,7 +387,7 @@
     caller: ICaller | undefined,
     requestId: string,
   ): void {
-    const models = caller === undefined ? [] : this._directory.listModels(caller.account);
+    const models = caller === undefined ? [] : this._configuration.listModels(caller.account);
     const data = models.map((id) => ({ id, object: 'model', owned_by: 'redwingwharf' }));
     const body = JSON.stringify({ object: 'list', data });
     response.writeHead(200, { 'content-type': 'application/json', 'x-request-id': requestId });
--- a/src/entry/Failures.ts
+++ b/src/entry/Failures.ts
@@ -56,7 +56,7 @@
  * Creates the failure of a request that is proven not to have run.
  *
  * @example
- * return Err(refuse('key_missing', 'Send the key in the header Authorization: Bearer.'));
+ * return Err(createRefusal('key_missing', 'Send the key in the header Authorization: Bearer.'));
  */
 export function createRefusal(
   code: FailureCode,
--- a/src/entry/ForwardHeaders.ts
+++ b/src/entry/ForwardHeaders.ts
@@ -17,7 +17,7 @@
   'user-agent',
 ] as const;
 
-/** Answer headers that are not forwarded: they apply to one connection or to the hop inside the system. */
+/** Answer headers that are not forwarded: they apply to one connection only or are internal to the system. */
 const DROPPED_ANSWER_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
--- a/src/entry/ModelFlow.ts
+++ b/src/entry/ModelFlow.ts
@@ -72,7 +72,7 @@
       this._refuse(context, describeNotRun(context, admitted.val));
       return;
     }
-    const slot = await this._queue.enter(context, tokens);
+    const slot = await this._queue.acquire(context, tokens);
     if (slot.err) {
       admitted.val.settle(0);
       this._refuse(context, slot.val);
--- a/src/entry/OpenRequests.ts
+++ b/src/entry/OpenRequests.ts
@@ -71,7 +71,7 @@
   private readonly _requests = new Set<OpenRequest>();
 
   constructor(
-    private readonly _directory: ConfigurationIndex,
+    private readonly _configuration: ConfigurationIndex,
     private readonly _feed: IFeed,
   ) {}
 
@@ -103,7 +103,7 @@
       request.end('deadline_exceeded');
     } else if (request.caller === undefined) {
       return;
-    } else if (!isKeyValid(request.caller, this._directory)) {
+    } else if (!isKeyValid(request.caller, this._configuration)) {
       request.end('key_withdrawn');
     } else if (isFresh(this._feed, now)) {
       request.release();
--- a/src/entry/PlainFlow.ts
+++ b/src/entry/PlainFlow.ts
@@ -53,13 +53,13 @@
   const account = context.caller?.account;
   const tokens = countPlainTokens(body);
   if (account === undefined) {
-    return queue.enter(context, tokens);
+    return queue.acquire(context, tokens);
   }
   const admitted = await admitter.admit(account, tokens, context.open.signal);
   if (admitted.err) {
     return Err(describeNotRun(context, admitted.val));
   }
-  const slot = await queue.enter(context, tokens);
+  const slot = await queue.acquire(context, tokens);
   admitted.val.settle(slot.ok ? tokens : 0);
   return slot;
 }
--- a/src/entry/QueueStage.ts
+++ b/src/entry/QueueStage.ts
@@ -23,12 +23,12 @@
    * Waits for a dispatch slot, which has to be disposed of. Returns a refusal if the queue is overloaded or
    * the request ends first. `cost` is in tokens.
    */
-  public async enter(
+  public async acquire(
     context: IRequestContext,
     cost: number,
   ): Promise<Result<IDisposable, IHttpFailure>> {
     const account = context.caller?.account;
-    const enteredAt = this._services.clock.now();
+    const waitStartedAt = this._services.clock.now();
     const slot = await this._queue.acquire(
       {
         requestId: context.requestId,
@@ -43,7 +43,7 @@
     );
     if (slot.ok) {
       const { clock, metrics } = this._services;
-      metrics.observe('queue_ms', clock.now() - enteredAt, { service: context.service.name });
+      metrics.observe('queue_ms', clock.now() - waitStartedAt, { service: context.service.name });
       return Ok(slot.val);
     }
     const failure = slot.val;
--- a/src/entry/RequestOutcomes.ts
+++ b/src/entry/RequestOutcomes.ts
@@ -1,4 +1,4 @@
-/** Records of request outcomes in log and metrics, and failures, that the flows share. */
+/** Functions that the flows share: they describe failures, and log and count the outcomes of requests. */
 import { createFailure, type IHttpFailure } from './Failures.js';
 import type { IFlowServices, IRequestContext } from './Types.js';
 
--- a/src/run/EntryRole.ts
+++ b/src/run/EntryRole.ts
@@ -55,7 +55,7 @@
   public readonly entry: Entry;
   private readonly _roster = new Roster();
   private readonly _decisionLog: DecisionLog;
-  private readonly _directory: ConfigurationIndex;
+  private readonly _configuration: ConfigurationIndex;
   private readonly _openRequests: OpenRequests;
   private readonly _chooser: TargetChooser;
   private readonly _client: DispatchClient;
@@ -84,8 +84,8 @@
       feed: _feed,
       feedSync,
     };
-    this._directory = new ConfigurationIndex(_feed);
-    this._openRequests = new OpenRequests(this._directory, _feed);
+    this._configuration = new ConfigurationIndex(_feed);
+    this._openRequests = new OpenRequests(this._configuration, _feed);
     this._client = new DispatchClient(_settings.clusterSecret);
     this._chooser = new TargetChooser(
       this._roster,
@@ -102,10 +102,10 @@
     const dispatcher = new Dispatcher(this._chooser, this._client, budget, services);
     const queue = this._createQueue();
     const queueStage = new QueueStage(queue, services);
-    const outcomes = new OutcomeQuery(this._roster, rpc, services);
+    const outcomeQuery = new OutcomeQuery(this._roster, rpc, services);
     this.entry = new Entry(
       role.listen,
-      this._directory,
+      this._configuration,
       this._openRequests,
       {
         model: new ModelFlow(
@@ -130,8 +130,8 @@
           queueStage,
           this._chooser,
           control,
-          new ClaimDispatch(this._chooser, this._client, outcomes, services),
-          outcomes,
+          new ClaimDispatch(this._chooser, this._client, outcomeQuery, services),
+          outcomeQuery,
           new ClaimSettlement(control, this._shutdown.signal),
           this._openRequests,
           services,
@@ -170,7 +170,7 @@
     this._shutdown.abort();
     this.entry.dispose();
     this._chooser.dispose();
-    this._directory.dispose();
+    this._configuration.dispose();
     await this._client.close();
   }
 
--- a/src/run/MemberHost.ts
+++ b/src/run/MemberHost.ts
@@ -29,7 +29,7 @@
 /** File with the targets that were saved last. */
 const TARGETS_FILE = 'targets';
 
-/** Longer than a planned restart (2 s), and longer than a machine still counts as lost after its return (4 s). */
+/** Longer than a planned restart (2 s) and than the time for which a returned machine still counts as lost (4 s). */
 const LOST_VOTER_TIMEOUT_MS = 6_000;
 
 /** Consensus groups don't shrink below this size, which still tolerates the loss of one member. */
--- a/src/sidecar/HotChunks.ts
+++ b/src/sidecar/HotChunks.ts
@@ -7,7 +7,7 @@
 /** A chunk that was stored this often is requested repeatedly. */
 const HOT_STORE_COUNT = 2;
 
-/** Limit of the stored chunks, cached or evicted; this many take about 1 MB. */
+/** Limit of the counted chunks, whether cached or evicted; this many take about 1 MB. */
 const MAX_CHUNKS = 10_000;
 
 interface IChunkUse {
--- a/src/sidecar/PromptQueue.test.ts
+++ b/src/sidecar/PromptQueue.test.ts
@@ -32,7 +32,7 @@
     expect(queue.estimateWaitMs(2_000)).toBeCloseTo(500);
   });
 
-  it('counts the chunks of a prefix that is being computed as cached', () => {
+  it('treats a prefix as cached while another prompt with it is being computed', () => {
     const queue = createTrainedQueue();
     queue.begin(createTicket('a', 4_000, [1, 2]), 1_000);
     const estimate = queue.estimate(createTicket('b', 5_000, [1, 2]), 1_000);
--- a/src/sidecar/Sidecar.ts
+++ b/src/sidecar/Sidecar.ts
@@ -38,7 +38,7 @@
 const DRAIN_POLL_INTERVAL_MS = 50;
 
 /** Covers one announcement to each entry, after which the entries know that the target is draining. */
-const DRAIN_NOTICE_DELAY_MS = 700;
+const DRAIN_NOTICE_PERIOD_MS = 700;
 
 /**
  * Creates and connects the parts of the sidecar role: watcher, announcer, dispatch handler and, beside an
@@ -146,7 +146,7 @@
   public async drain(timeoutMs: number, signal: AbortSignal): Promise<void> {
     this._startDraining();
     const deadline = performance.now() + timeoutMs;
-    await sleep(DRAIN_NOTICE_DELAY_MS, signal);
+    await sleep(DRAIN_NOTICE_PERIOD_MS, signal);
     while (
       this._dispatchHandler.openCount > 0 &&
       performance.now() < deadline &&
--- a/src/sidecar/UsedChunks.ts
+++ b/src/sidecar/UsedChunks.ts
@@ -22,7 +22,7 @@
  *
  * @example
  * used.record(ticket.prefixChain, now);
- * used.listSince(lastAnnouncementAt, 8, now);
+ * used.listSince(lastAnnouncementAt, 8);
  */
 export class UsedChunks {
   /** Keyed by hash, least recently used chunk first. */
--- a/src/sidecar/WeightsReconciler.test.ts
+++ b/src/sidecar/WeightsReconciler.test.ts
@@ -214,7 +214,8 @@
       clock.advance(FRESHNESS_LIMIT_MS);
       control.desiredVersion = 'w3';
       const successor = createSidecar(engine, 2);
-      // After 3 s the frozen process still has the slot lease: only its stale feed copy stops it.
+      // With 'strict' only 3 s pass, so the slot lease is still held: what stops the frozen process is its stale
+      // feed copy.
       clock.advance(mode === 'ignore' ? WEIGHTS_TIMINGS.startupDelayMs : 0);
       successor.feed.sync();
       await successor.reconciler.reconcileOnce(never);
