--- a/tools/harness/Child.ts
+++ b/tools/harness/Child.ts
@@ -3,7 +3,7 @@
 import { closeSync, openSync } from 'node:fs';
 import { once } from 'node:events';
 
-/** A Node.js process that is started with the object; its output is appended to a log file. */
+/** Node.js process that the constructor starts; its output is appended to a log file. */
 export class Child {
   private readonly _process: ChildProcess;
 
--- a/tools/soak/Breaks.ts
+++ b/tools/soak/Breaks.ts
@@ -21,7 +21,7 @@
   {
     name: 'claim-table',
     expectedViolations: ['a_once', 'b_not_run'],
-    summary: 'the sidecar forgets which claim attempts it has seen or refused',
+    summary: 'the sidecar treats claim attempts that it has accepted or refused before as new',
     faultKinds: ['slow_links', 'freeze_sidecar', 'cut_link'],
   },
   {
--- a/tools/soak/FaultSchedule.ts
+++ b/tools/soak/FaultSchedule.ts
@@ -42,7 +42,7 @@
     private readonly _kinds: readonly string[],
   ) {}
 
-  /** True while faults of at most one kind run that interrupt the control members. */
+  /** True while at most one kind of fault that interrupts the control members is running. */
   public isOnlyControlFault(): boolean {
     return [...this._runningKinds].filter((kind) => CONTROL_FAULT_KINDS.includes(kind)).length <= 1;
   }
--- a/tools/soak/FinalChecks.ts
+++ b/tools/soak/FinalChecks.ts
@@ -102,7 +102,7 @@
     );
   }
 
-  /** Number of these refusals that an ideal token bucket would have admitted, by client account. */
+  /** Number of requests refused with status 429 that an ideal token bucket would have admitted, by client account. */
   public countWrongfulRefusals(accounts: readonly ISoakAccount[]): Record<string, number> {
     return countByAccount(accounts, (account) => countWrongfulRefusals(this._records, account));
   }
@@ -362,7 +362,7 @@
   return wrongfulRefusals;
 }
 
-/** Maps the client accounts with a positive count to it. */
+/** Counts by client account; accounts with the count 0 are left out. */
 function countByAccount(
   accounts: readonly ISoakAccount[],
   count: (account: ISoakAccount) => number,
--- a/tools/soak/Load.ts
+++ b/tools/soak/Load.ts
@@ -19,7 +19,7 @@
 const MAX_OPEN_REQUESTS = 60;
 const MAX_ORDER_ATTEMPTS = 7;
 
-/** The request reserves 6,000 tokens and uses 500 of them, and its stream lasts about four seconds. */
+/** The large request before a burst reserves 6,000 tokens, uses 500 of them and streams for about four seconds. */
 const REFUND_RESERVED_TOKENS = 6_000;
 const REFUND_USED_TOKENS = 500;
 
--- a/tools/soak/Records.ts
+++ b/tools/soak/Records.ts
@@ -58,7 +58,10 @@
     this._kills.push({ entry, at: performance.now() });
   }
 
-  /** True if the entry was killed while the request was open or within 100 ms after its end. */
+  /**
+   * True if the entry was killed while the request was open or within 100 ms after its end: the kill may then be
+   * the cause of a broken connection.
+   */
   public isDuringKill(record: IRequestRecord): boolean {
     const { sentAt, endAt } = record.result;
     return this._kills.some(
--- a/tools/soak/StatusWatch.ts
+++ b/tools/soak/StatusWatch.ts
@@ -14,7 +14,7 @@
 
 /**
  * Checks that the configuration version of an entry never decreases while its process runs, and that accepted
- * changes come into force in time. Knows which entries are ready.
+ * changes come into force in time. Also records which entries are ready.
  */
 export class StatusWatch {
   private readonly _clients: RpcClients;
