--- a/fakes/Engine.ts
+++ b/fakes/Engine.ts
@@ -1,6 +1,6 @@
 /**
  * Fake model engine for tests, with batching, a prefix cache, priorities and weights that are loaded on
- * order. Its answers are numbered placeholder tokens.
+ * command. Its answers are numbered placeholder tokens.
  */
 import { createHash, randomUUID } from 'node:crypto';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -24,7 +24,7 @@
   readonly tokenIntervalMs: number;
   /** Requests that run at the same time; others wait in the queue. */
   readonly maxRunning: number;
-  /** `ignore`: the engine also accepts orders with an old fencing number. */
+  /** `ignore`: the engine also accepts load commands with an old fencing number. */
   readonly fencing: 'strict' | 'ignore';
   /** Age of the load that `reportLoad` returns. */
   readonly loadLagMs: number;
@@ -51,8 +51,8 @@
   readonly total_blocks: number;
 }
 
-/** A completed order to load weights. Times are wall-clock milliseconds. */
-export interface ICompletedOrder {
+/** A completed load of weights. Times are wall-clock milliseconds. */
+export interface ILoadRecord {
   readonly fence: number;
   readonly version: string;
   readonly startedAt: number;
@@ -78,10 +78,10 @@
 export class Engine {
   public readonly incarnation = randomUUID();
   public weightsVersion: string;
-  /** Highest fencing number of the accepted orders. */
+  /** Highest fencing number of the accepted load commands. */
   public highestFence = 0;
-  /** Completed orders, for checks of tests. */
-  public readonly orders: ICompletedOrder[] = [];
+  /** Completed loads of weights, for checks of tests. */
+  public readonly orders: ILoadRecord[] = [];
   private readonly _cache: EngineCache;
   private readonly _owners = new ChunkOwners();
   private readonly _streams = new Map<string, EngineStream>();
--- a/fakes/EngineServer.ts
+++ b/fakes/EngineServer.ts
@@ -1,4 +1,4 @@
-/** HTTP interface of the fake engine: generations, streams, load, cache events and weight orders. */
+/** HTTP interface of the fake engine: generations, streams, load, cache events and load commands. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { once } from 'node:events';
 import type { Engine } from './Engine.js';
@@ -62,7 +62,7 @@
       sendJson(response, 200, engine.orders);
       return;
     case 'POST /admin/orders':
-      await handleOrder(engine, request, response);
+      await handleLoadCommand(engine, request, response);
       return;
     case 'POST /v1/chat/completions':
     case 'POST /v1/completions':
@@ -82,13 +82,13 @@
   };
 }
 
-async function handleOrder(
+async function handleLoadCommand(
   engine: Engine,
   request: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
-  const order = await readJson(request);
-  const isLoaded = await engine.loadWeights(Number(order.fence), String(order.version));
+  const command = await readJson(request);
+  const isLoaded = await engine.loadWeights(Number(command.fence), String(command.version));
   if (isLoaded) {
     sendJson(response, 200, describeEngine(engine));
   } else {
--- a/model/claims.qnt
+++ b/model/claims.qnt
@@ -457,7 +457,7 @@
     }
   }
 
-  // The entry crashes, the caller gives up, or the entry answers "outcome unknown".
+  // The entry crashes, the caller disconnects, or the entry answers "outcome unknown".
   action abandon(id: int): bool = {
     val a = attempts.get(id)
     all {
--- a/src/cli/Commands.test.ts
+++ b/src/cli/Commands.test.ts
@@ -169,7 +169,7 @@
   readonly warnings: string;
 }
 
-const initialisedFolders: string[] = [];
+const initialisedDirectories: string[] = [];
 const ranSettings: ILoadedSettings[] = [];
 
 async function run(...argv: string[]): Promise<IRunResult> {
@@ -187,7 +187,7 @@
     initialiser: {
       init: (settings) => {
         const dataFolder = settings.control?.dataFolder ?? '';
-        initialisedFolders.push(dataFolder);
+        initialisedDirectories.push(dataFolder);
         const failure = { kind: 'not_empty' as const, message: 'The folder is not empty.' };
         return Promise.resolve(dataFolder.endsWith('full') ? Err(failure) : Ok('c1'));
       },
@@ -590,7 +590,7 @@
     const file = join(folder, 'settings.json');
     writeFileSync(file, JSON.stringify(settings));
     expect((await run('init', '--settings', file)).out).toContain('cluster c1');
-    expect(initialisedFolders.at(-1)).toBe(join(folder, 'data'));
+    expect(initialisedDirectories.at(-1)).toBe(join(folder, 'data'));
     expect((await run('run', '--settings', file)).exitCode).toBe(0);
     expect(ranSettings.at(-1)).toMatchObject({ control: { dataFolder: join(folder, 'data') } });
     const full = { ...settings, control: { memberId: 'm1', dataFolder: 'full' } };
--- a/src/cli/OperatorChecks.ts
+++ b/src/cli/OperatorChecks.ts
@@ -27,7 +27,7 @@
 }
 
 /** Receives each problem. `suffix` is the JSON pointer of the wrong value, relative to the entry. */
-export type ReportProblem = (
+export type ReportEntryProblem = (
   declared: IDeclaredEntry<unknown>,
   suffix: string,
   message: string,
@@ -49,7 +49,7 @@
   entries: readonly IDeclaredEntry<T>[],
   entryKind: string,
   getName: (value: T) => string,
-  report: ReportProblem,
+  report: ReportEntryProblem,
 ): Map<string, IDeclaredEntry<T>> {
   const index = new Map<string, IDeclaredEntry<T>>();
   for (const entry of entries) {
@@ -65,7 +65,10 @@
   return index;
 }
 
-function checkServiceKind(declared: IDeclaredEntry<ServiceEntry>, report: ReportProblem): void {
+function checkServiceKind(
+  declared: IDeclaredEntry<ServiceEntry>,
+  report: ReportEntryProblem,
+): void {
   const { kind, models = [], routes = [] } = declared.value;
   if (kind === 'model' && models.length === 0) {
     report(declared, '', 'a model service needs "models"', 'List at least one model.');
@@ -102,7 +105,7 @@
   return undefined;
 }
 
-function checkRoute({ service, suffix, route }: IDeclaredRoute, report: ReportProblem): void {
+function checkRoute({ service, suffix, route }: IDeclaredRoute, report: ReportEntryProblem): void {
   const reason = explainBadPath(route.path);
   if (reason !== undefined) {
     const remedy =
@@ -159,7 +162,7 @@
   );
 }
 
-function checkOverlaps(routes: readonly IDeclaredRoute[], report: ReportProblem): void {
+function checkOverlaps(routes: readonly IDeclaredRoute[], report: ReportEntryProblem): void {
   const byPath = new Map<string, IDeclaredRoute[]>();
   for (const declaredRoute of routes) {
     const routesAtPath = byPath.get(declaredRoute.route.path);
@@ -189,7 +192,7 @@
 
 function indexModels(
   services: readonly IDeclaredEntry<ServiceEntry>[],
-  report: ReportProblem,
+  report: ReportEntryProblem,
 ): Map<string, IDeclaredEntry<unknown>> {
   const index = new Map<string, IDeclaredEntry<unknown>>();
   for (const service of services) {
@@ -210,7 +213,7 @@
 function checkAccount(
   account: IDeclaredEntry<ClientAccountEntry>,
   services: ReadonlyMap<string, IDeclaredEntry<ServiceEntry>>,
-  report: ReportProblem,
+  report: ReportEntryProblem,
 ): void {
   for (const [index, name] of account.value.services.entries()) {
     const service = services.get(name)?.value;
@@ -230,7 +233,7 @@
 }
 
 /** Reports every inconsistency between entries; each entry must already satisfy the schema. */
-export function checkDeclarations(declarations: IDeclarations, report: ReportProblem): void {
+export function checkDeclarations(declarations: IDeclarations, report: ReportEntryProblem): void {
   const { services, clientAccounts, weights } = declarations;
   const serviceIndex = indexByName(services, 'service', (value) => value.name, report);
   indexByName(clientAccounts, 'client account', (value) => value.id, report);
--- a/src/common/ConnectErrors.test.ts
+++ b/src/common/ConnectErrors.test.ts
@@ -16,7 +16,7 @@
   }
 }
 
-describe('isNeverConnected', () => {
+describe('isConnectFailure', () => {
   const server = createServer((socket) => {
     socket.once('data', () => socket.destroy());
   });
--- a/src/common/ConnectErrors.ts
+++ b/src/common/ConnectErrors.ts
@@ -14,7 +14,7 @@
  * request was not sent then, and repeating it is safe.
  *
  * @example
- * if (isNeverConnected(error)) return { kind: 'not_run' };
+ * if (isConnectFailure(error)) return { kind: 'not_run' };
  */
 export function isConnectFailure(error: unknown): boolean {
   let current: unknown = error;
--- a/src/common/HttpAnswer.ts
+++ b/src/common/HttpAnswer.ts
@@ -5,7 +5,7 @@
 import type { IncomingHttpHeaders } from 'node:http';
 import type { Dispatcher } from 'undici';
 
-/** An answer whose head has arrived; the body may still be on its way. */
+/** An answer whose head has arrived; the body may be incomplete. */
 export interface IHttpAnswer {
   readonly statusCode: number;
   readonly headers: IncomingHttpHeaders;
--- a/src/common/Tasks.test.ts
+++ b/src/common/Tasks.test.ts
@@ -39,8 +39,8 @@
   });
 });
 
-describe('limitSignal', () => {
-  // A timeout signal that is only weakly held can be collected, and its limit is never enforced.
+describe('deriveTimeoutSignal', () => {
+  // A timeout signal that is only weakly held can be garbage-collected, and then it is never aborted.
   it('is aborted at the limit after garbage collections', async () => {
     setFlagsFromString('--expose-gc');
     const collectGarbage = runInNewContext('gc') as () => void;
@@ -73,7 +73,7 @@
   });
 });
 
-describe('runWithLimit', () => {
+describe('runWithTimeout', () => {
   it('aborts at the limit after garbage collections, so that no call blocks a task forever', async () => {
     setFlagsFromString('--expose-gc');
     const collect = runInNewContext('gc') as () => void;
--- a/src/common/Tasks.ts
+++ b/src/common/Tasks.ts
@@ -43,7 +43,7 @@
 
 /**
  * Creates a signal that is aborted with its parent or after `ms` milliseconds, for work that continues
- * after a call has returned. Its listener stays at the parent until then; `runWithLimit` removes its own
+ * after a call has returned. Its listener stays at the parent until then; `runWithTimeout` removes its own
  * as soon as the call ends.
  */
 export function deriveTimeoutSignal(parent: AbortSignal, ms: number): AbortSignal {
@@ -68,7 +68,7 @@
  * is never aborted, and a call without a time limit would block its task forever.
  *
  * @example
- * const reply = await runWithLimit(signal, 600, (limited) => transport.join(address, request, limited));
+ * const reply = await runWithTimeout(signal, 600, (limited) => transport.join(address, request, limited));
  */
 export async function runWithTimeout<T>(
   parent: AbortSignal,
--- a/tools/bench/Engine.ts
+++ b/tools/bench/Engine.ts
@@ -92,7 +92,7 @@
 }
 
 /** Content of one announcement. */
-export interface IEngineReport extends IEngineLoad {
+export interface IEngineAnnouncement extends IEngineLoad {
   readonly incarnation: string;
   readonly evictedChunks: readonly ChainHash[];
   readonly usedHotChunks: readonly ChainHash[];
@@ -179,7 +179,7 @@
   }
 
   /** Returns the state to announce. Evictions and uses are announced once, so this clears them. */
-  public report(now: number): IEngineReport {
+  public report(now: number): IEngineAnnouncement {
     const evicted = this._evictedHotChunks.slice(-MAX_ANNOUNCED_EVICTIONS);
     const used = [...this._usedHotChunks].filter((hash) => this._cache.has(hash));
     this._evictedHotChunks = [];
--- a/tools/bench/Entry.ts
+++ b/tools/bench/Entry.ts
@@ -9,7 +9,7 @@
   ITargetView,
 } from '../../src/policy/Types.js';
 import { REQUEST_TIMEOUT_MS, type IDeployment } from './Deployments.js';
-import type { Engine, IEngineReport } from './Engine.js';
+import type { Engine, IEngineAnnouncement } from './Engine.js';
 import type { EventQueue } from './EventQueue.js';
 import type { Measures } from './Measures.js';
 import type { ITailSample } from './Tail.js';
@@ -84,7 +84,7 @@
   }
 
   /** Updates the view of a target from an announcement that arrives now. */
-  public applyAnnouncement(engineIndex: number, report: IEngineReport, now: number): void {
+  public applyAnnouncement(engineIndex: number, report: IEngineAnnouncement, now: number): void {
     const current = this._targets[engineIndex];
     if (current === undefined) {
       return;
@@ -293,7 +293,7 @@
     this._dispatchQueued(now);
   }
 
-  /** Counts a request that expired in the queue or may not be retried as wrongfully refused. */
+  /** Records a wrongful refusal for a request that expired in the queue or may not be retried. */
   private _abortRequest(request: IOpenRequest): void {
     this._context.measures.recordWrongfulRefusal();
     if (request.hasFirstToken) {
--- a/tools/bench/Measures.ts
+++ b/tools/bench/Measures.ts
@@ -114,7 +114,8 @@
   }
 
   /**
-   * Records a dispatched request whose response broke off or was complete after its deadline only.
+   * Records a request that failed after its first token, or whose answer was complete only after
+   * its deadline.
    */
   public recordFailure(): void {
     this._failed += 1;
--- a/tools/generate.mjs
+++ b/tools/generate.mjs
@@ -53,7 +53,7 @@
     });
   if (code.includes('require(')) {
     throw new Error(
-      `the validator of ${name} requires a module outside ajv/dist/runtime, only that directory is imported`,
+      `the validator of ${name} requires a module outside ajv/dist/runtime; only that directory is imported`,
     );
   }
   return [
--- a/tools/overhead.ts
+++ b/tools/overhead.ts
@@ -107,7 +107,7 @@
 };
 
 /** Part of the printed JSON object. */
-type Result = Readonly<Record<string, unknown>>;
+type MeasurementResult = Readonly<Record<string, unknown>>;
 
 /** Processor time of the entry, and of all sidecars together, in milliseconds. */
 type CpuTimesMs = readonly [entry: number, sidecar: number];
@@ -154,7 +154,7 @@
 }
 
 /** Alternates direct and routed requests, so that both meet the same state of the machine. */
-async function measureLatency(deployment: Deployment, key: string): Promise<Result> {
+async function measureLatency(deployment: Deployment, key: string): Promise<MeasurementResult> {
   const client = new LoadClient();
   const directHistogram = createHistogram();
   const routedHistogram = createHistogram();
@@ -230,7 +230,7 @@
   await runConcurrently(SHORT_REQUEST_COUNT, concurrency, async () => {
     const { status } = await client.stream(deployment.getEntryUrl(ENTRY_NAME), key, buildBody(1));
     if (status !== 200) {
-      throw new Error(`unexpected status ${status} of a short request, 200 is expected`);
+      throw new Error(`status ${status} of a short request instead of 200`);
     }
   });
   await client.close();
@@ -306,7 +306,7 @@
       this.readCount += 1;
     });
     if (times.status !== 200) {
-      throw new Error(`unexpected status ${times.status} of a stream, 200 is expected`);
+      throw new Error(`status ${times.status} of a stream instead of 200`);
     }
     this._endedCount += 1;
   }
@@ -316,8 +316,8 @@
   deployment: Deployment,
   key: string,
   idleCpuRates: IdleCpuRates,
-): Promise<Result[]> {
-  const rows: Result[] = [];
+): Promise<MeasurementResult[]> {
+  const rows: MeasurementResult[] = [];
   for (const atOnce of REQUEST_CONCURRENCIES) {
     const cost = await measureCpuCost(deployment, idleCpuRates, async () => {
       return runRequests(deployment, key, atOnce);
@@ -336,8 +336,8 @@
   deployment: Deployment,
   key: string,
   idleCpuRates: IdleCpuRates,
-): Promise<Result[]> {
-  const rows: Result[] = [];
+): Promise<MeasurementResult[]> {
+  const rows: MeasurementResult[] = [];
   for (const streams of STREAM_COUNTS) {
     const openStreams = new OpenStreams(streams);
     await openStreams.start(deployment, key);
@@ -361,7 +361,9 @@
   return rows;
 }
 
-async function measureUnderLoad(measurements: ReadonlySet<Measurement>): Promise<Result> {
+async function measureUnderLoad(
+  measurements: ReadonlySet<Measurement>,
+): Promise<MeasurementResult> {
   return runDeployment(LOAD_PLAN, async (deployment, key) => {
     const latency = measurements.has('latency') ? await measureLatency(deployment, key) : {};
     const idleCpuRates = await measureIdleCpuRates(deployment);
@@ -382,7 +384,7 @@
 }
 
 /** Measures processor time, written bytes and memory of idle processes by role. */
-async function measureIdle(): Promise<Result> {
+async function measureIdle(): Promise<MeasurementResult> {
   return runDeployment(IDLE_PLAN, async (deployment) => {
     await delay(SETTLE_DELAY_MS);
     const read = (name: string): { cpuMs: number; bytes: number } => {
@@ -410,8 +412,8 @@
 
 async function runDeployment(
   plan: IDeploymentPlan,
-  run: (deployment: Deployment, key: string) => Promise<Result>,
-): Promise<Result> {
+  run: (deployment: Deployment, key: string) => Promise<MeasurementResult>,
+): Promise<MeasurementResult> {
   const deployment = await Deployment.create(plan);
   try {
     return await run(deployment, await prepareDeployment(deployment));
--- a/tools/slopes/Measure.ts
+++ b/tools/slopes/Measure.ts
@@ -37,7 +37,7 @@
     step();
     return ((performance.now() - startedAt) * US_PER_MS) / unitsPerStep;
   });
-  return computeMedian(times);
+  return computeUpperMedian(times);
 }
 
 /**
@@ -49,7 +49,7 @@
   const samples = Array.from({ length: MEMORY_REPETITIONS + 1 }, () =>
     measureRetainedKilobytes(create),
   );
-  return computeMedian(samples.slice(1));
+  return computeUpperMedian(samples.slice(1));
 }
 
 function measureRetainedKilobytes(create: () => unknown): number {
@@ -65,7 +65,7 @@
 }
 
 /** Returns the median; for an even number of values, the upper one of the middle two. */
-export function computeMedian(values: readonly number[]): number {
+export function computeUpperMedian(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
--- a/tools/slopes/StateSlopes.ts
+++ b/tools/slopes/StateSlopes.ts
@@ -9,7 +9,7 @@
 } from '../../src/gen/redwingwharf/v1/state_pb.js';
 import { GrantWallet } from '../../src/admission/GrantWallet.js';
 import { ControlState } from '../../src/state/ControlState.js';
-import { computeMedian, measureKilobytes, measureUs, type ISlope } from './Measure.js';
+import { computeUpperMedian, measureKilobytes, measureUs, type ISlope } from './Measure.js';
 
 type CommandBody = NonNullable<MessageInitShape<typeof CommandSchema>['body']>;
 
@@ -107,7 +107,7 @@
 function measureExchangeApply(accounts: number): number {
   const applier = createApplierWithAccounts(960);
   let sequence = 0;
-  return computeMedian(
+  return computeUpperMedian(
     Array.from({ length: EXCHANGE_SAMPLES }, () => {
       sequence += 1;
       const command = applier.encode(buildExchange(accounts, sequence));
@@ -173,7 +173,7 @@
 
 /** Measures building and encoding a grant exchange at an entry, in microseconds. */
 function measureExchangeBuild(accounts: number): number {
-  return computeMedian(
+  return computeUpperMedian(
     Array.from({ length: EXCHANGE_SAMPLES }, () => {
       const wallet = createWallet(accounts);
       const startedAt = performance.now();
