--- a/src/gateway/PromptHolders.ts
+++ b/src/gateway/PromptHolders.ts
@@ -131,7 +131,7 @@
   }
 
   /** Drops the readings of a target that restarted or loaded weights: its cache is empty. */
-  public forgetTarget(id: string): void {
+  public removeTarget(id: string): void {
     for (const readings of this._readings.values()) {
       readings.delete(id);
     }
--- a/src/gateway/TargetStates.ts
+++ b/src/gateway/TargetStates.ts
@@ -97,7 +97,7 @@
   }
 
   /** Drops the state of a target unless requests to it are in progress. */
-  public forget(id: string): void {
+  public remove(id: string): void {
     const state = this._states.get(id);
     if (state?.open === 0) {
       this._states.delete(id);
--- a/src/run/FleetProcess.ts
+++ b/src/run/FleetProcess.ts
@@ -115,8 +115,8 @@
       seeds,
     );
     this.view.onTargetUnavailable(({ id }) => {
-      states.forget(id);
-      holders.forgetTarget(id);
+      states.remove(id);
+      holders.removeTarget(id);
     });
     this._storeIndex = new StoreIndex(this.view, adapters.pollStore, clock, _log);
     this.callRunner = new CallRunner<T>({
