--- a/src/admission/AccountWallet.ts
+++ b/src/admission/AccountWallet.ts
@@ -118,10 +118,10 @@
   /** Returns unused tokens of a charge to its grants; their spending must not have been reported yet. */
   public reclaim(charge: ICharge, tokens: number): void {
     let remaining = tokens;
-    for (const { grant: holding, tokens: charged } of [...charge.debits].reverse()) {
+    for (const { grant, tokens: charged } of [...charge.debits].reverse()) {
       const amount = Math.min(remaining, charged);
-      holding.tokens += amount;
-      holding.unreportedTokens -= amount;
+      grant.tokens += amount;
+      grant.unreportedTokens -= amount;
       remaining -= amount;
     }
   }
@@ -135,21 +135,21 @@
     const wantedTokens = this._sumWanted(now);
     let excess = Math.max(0, this.sumAvailable(now) - wantedTokens);
     const reports: MessageInitShape<typeof GrantReportSchema>[] = [];
-    for (const holding of this._grants) {
-      const isLeased = now < holding.leaseEndsAt;
-      const returnedTokens = isLeased ? Math.min(excess, holding.tokens) : holding.tokens;
+    for (const grant of this._grants) {
+      const isLeased = now < grant.leaseEndsAt;
+      const returnedTokens = isLeased ? Math.min(excess, grant.tokens) : grant.tokens;
       excess -= isLeased ? returnedTokens : 0;
-      if (holding.unreportedTokens > 0 || returnedTokens > 0) {
+      if (grant.unreportedTokens > 0 || returnedTokens > 0) {
         reports.push({
-          grantId: holding.id,
-          spentTokens: holding.unreportedTokens,
+          grantId: grant.id,
+          spentTokens: grant.unreportedTokens,
           returnedTokens,
         });
       }
-      holding.tokens -= returnedTokens;
-      holding.unreportedTokens = 0;
+      grant.tokens -= returnedTokens;
+      grant.unreportedTokens = 0;
     }
-    this._grants = this._grants.filter((holding) => holding.tokens > 0);
+    this._grants = this._grants.filter((grant) => grant.tokens > 0);
     const [firstWaiter] = this._waiters;
     const neededTokens = firstWaiter?.tokens ?? 0;
     return { clientAccount: this.clientAccount, reports, wantedTokens, neededTokens };
--- a/src/admission/DispatchQueue.test.ts
+++ b/src/admission/DispatchQueue.test.ts
@@ -16,13 +16,13 @@
   }
 }
 
-/** Queue under test with a manual clock; `loads` are the reported loads, `permits` the issued ones. */
+/** Queue under test with a manual clock; `loads` are the reported loads, `dispatchSlots` the issued slots. */
 class QueueHarness {
   public readonly clock = new ManualClock();
   public loads = [0];
   public readonly admitted: string[] = [];
   public readonly refused: string[] = [];
-  public readonly permits: IDisposable[] = [];
+  public readonly dispatchSlots: IDisposable[] = [];
   public readonly queue: DispatchQueue;
   private _count = 0;
 
@@ -32,7 +32,7 @@
     this.queue = new DispatchQueue(this.clock, { listLoads, maxRequestsPerTarget: 1, ...options });
   }
 
-  public enter(account: string, fields: Partial<IDispatchRequest> = {}): AbortController {
+  public acquire(account: string, fields: Partial<IDispatchRequest> = {}): AbortController {
     const caller = new AbortController();
     this._count += 1;
     const request = { service: 'lace', requestId: `${this._count}`, clientAccount: account };
@@ -40,7 +40,7 @@
     void this.queue.acquire({ ...request, ...sizes, ...fields }, caller.signal).then((result) => {
       if (result.ok) {
         this.admitted.push(account);
-        this.permits.push(result.val);
+        this.dispatchSlots.push(result.val);
       } else {
         this.refused.push(result.val.kind);
       }
@@ -64,7 +64,7 @@
 
   public async releaseOne(): Promise<void> {
     await this.flushPromises();
-    this.permits.shift()?.dispose();
+    this.dispatchSlots.shift()?.dispose();
     await this.flushPromises();
   }
 }
@@ -73,9 +73,9 @@
   it('does not let a flood of one account starve another', async () => {
     const harness = new QueueHarness();
     for (let count = 0; count < 100; count++) {
-      harness.enter('flood');
+      harness.acquire('flood');
     }
-    harness.enter('calm');
+    harness.acquire('calm');
     await harness.releaseOne();
     await harness.releaseOne();
     expect(harness.admitted).toHaveLength(3);
@@ -85,7 +85,7 @@
   it('refuses requests at once while the queue is full, so that none waits in vain', async () => {
     const harness = new QueueHarness({ limits: { maxRequests: 2 } });
     for (let count = 0; count < 5; count++) {
-      harness.enter('pag');
+      harness.acquire('pag');
     }
     await harness.flushPromises();
     expect(harness.refused).toEqual(['overloaded', 'overloaded']);
@@ -94,20 +94,20 @@
 
   it('refuses a request whose deadline passes while it waits', async () => {
     const harness = new QueueHarness();
-    harness.enter('pag');
-    harness.enter('pag', { deadlineMs: harness.clock.time + 20 });
+    harness.acquire('pag');
+    harness.acquire('pag', { deadlineMs: harness.clock.time + 20 });
     await harness.flushPromises();
     harness.clock.time += 21;
     await harness.report(0);
     expect([harness.refused, harness.queue.waitingCount]).toEqual([['overloaded'], 0]);
   });
 
-  it('removes a request whose caller disconnects, so that no permit leaks', async () => {
+  it('removes a request whose caller disconnects, so that no dispatch slot leaks', async () => {
     const harness = new QueueHarness();
-    harness.enter('pag');
-    const leaving = harness.enter('gone');
-    harness.enter('next');
-    leaving.abort();
+    harness.acquire('pag');
+    const disconnecting = harness.acquire('gone');
+    harness.acquire('next');
+    disconnecting.abort();
     await harness.releaseOne();
     expect([harness.admitted, harness.refused]).toEqual([['pag', 'next'], ['aborted']]);
   });
@@ -116,7 +116,7 @@
     const harness = new QueueHarness({ maxRequestsPerTarget: 10 });
     await harness.report(9, 8);
     for (let count = 0; count < 30; count++) {
-      harness.enter('pag');
+      harness.acquire('pag');
     }
     await harness.flushPromises();
     // Two targets of 10, of which others use 17, so only the guaranteed minimum of 4 each is left.
@@ -127,10 +127,10 @@
     expect(harness.admitted).toHaveLength(20);
   });
 
-  it('does not queue requests without targets, so that target selection refuses them', async () => {
+  it('does not queue requests without targets, so that target selection refuses them with the reason', async () => {
     const harness = new QueueHarness();
-    harness.enter('pag');
-    harness.enter('pag');
+    harness.acquire('pag');
+    harness.acquire('pag');
     await harness.flushPromises();
     await harness.report();
     expect(harness.admitted).toHaveLength(2);
@@ -146,13 +146,13 @@
       fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
         const harness = new QueueHarness({ maxRequestsPerTarget: 2 });
         const callers: AbortController[] = [];
-        let enteredCount = 0;
+        let acquireCount = 0;
         let maxTargets = 1;
         for (const item of steps) {
           const at = 'at' in item ? item.at : 0;
           if ('account' in item) {
-            callers.push(harness.enter(item.account));
-            enteredCount += 1;
+            callers.push(harness.acquire(item.account));
+            acquireCount += 1;
           } else if (item.kind === 'finish') {
             await harness.releaseOne();
           } else if (item.kind === 'leave') {
@@ -168,11 +168,11 @@
           const isFull = harness.queue.inProgressCount >= 2 * harness.loads.length;
           expect(harness.queue.waitingCount === 0 || isFull).toBe(true);
         }
-        while (harness.permits.length > 0) {
+        while (harness.dispatchSlots.length > 0) {
           await harness.releaseOne();
         }
         expect([harness.queue.waitingCount, harness.queue.inProgressCount]).toEqual([0, 0]);
-        expect(harness.admitted.length + harness.refused.length).toBe(enteredCount);
+        expect(harness.admitted.length + harness.refused.length).toBe(acquireCount);
       }),
       { numRuns: 200, seed: 20_261_204 },
     );
--- a/src/admission/DispatchQueue.ts
+++ b/src/admission/DispatchQueue.ts
@@ -50,11 +50,11 @@
   readonly previousOwnDispatches: number;
 }
 
-/** Queue, permits and cached loads of one service. */
+/** Queue, dispatch slots and cached loads of one service. */
 interface IServiceState {
   readonly queue: FairQueue<IWaiter>;
   readonly reports: Map<string, ITargetReport>;
-  inProgress: number;
+  inProgressCount: number;
   targetCount: number;
   /** Estimated load that other entries put on the targets. */
   otherEntriesLoad: number;
@@ -62,14 +62,14 @@
 }
 
 /**
- * Issues permits for dispatches to the targets of a service. The bound of a service is
+ * Issues dispatch slots for the targets of a service. The bound of a service is
  * `MAX_REQUESTS_PER_TARGET` for each target, less the load that other entries put on the targets: the
  * reported load less this entry's own dispatches that it includes. Reports lag by up to one announcement
  * interval, so the own dispatches are taken as the higher count at the last two reports.
  *
  * @example
- * const permit = await queue.enter(request, signal);
- * if (permit.ok) try { await dispatch(); } finally { permit.val.dispose(); }
+ * const slot = await queue.acquire(request, signal);
+ * if (slot.ok) try { await dispatch(); } finally { slot.val.dispose(); }
  */
 export class DispatchQueue {
   private readonly _services = new Map<string, IServiceState>();
@@ -84,13 +84,13 @@
     return [...this._services.values()].reduce((sum, { queue }) => sum + queue.size, 0);
   }
 
-  /** Number of permits in use, over all services. */
+  /** Number of dispatch slots in use, over all services. */
   public get inProgressCount(): number {
-    return [...this._services.values()].reduce((sum, state) => sum + state.inProgress, 0);
+    return [...this._services.values()].reduce((sum, state) => sum + state.inProgressCount, 0);
   }
 
   /**
-   * Waits for a permit, which the caller disposes of after the dispatch. Refuses at once when the queue
+   * Waits for a dispatch slot, which the caller disposes of after the dispatch. Refuses at once when the queue
    * is full or the request is expected to miss its deadline.
    */
   public async acquire(
@@ -103,7 +103,7 @@
       return Err(createAbortedFailure());
     }
     if (state.queue.size === 0 && this._hasCapacity(request.service, state, now)) {
-      return Ok(this._issuePermit(request.service, state));
+      return Ok(this._issueDispatchSlot(request.service, state));
     }
     return this._wait(request, state, signal);
   }
@@ -115,7 +115,7 @@
       state.reports.delete(target);
     } else {
       const previousOwnDispatches = state.reports.get(target)?.ownDispatches ?? 0;
-      state.reports.set(target, { ownDispatches: state.inProgress, previousOwnDispatches });
+      state.reports.set(target, { ownDispatches: state.inProgressCount, previousOwnDispatches });
     }
     if (state.queue.size > 0) {
       state.loadsReadAt = -Infinity;
@@ -128,12 +128,12 @@
     for (const { payload } of state.queue.dropExpired(now)) {
       payload.resolve(Err(createOverloadedFailure(EXPIRED_RETRY_AFTER_MS)));
     }
-    while (state.inProgress < this._computeBound(service, state, now)) {
+    while (state.inProgressCount < this._computeBound(service, state, now)) {
       const next = state.queue.take(now);
       if (next === undefined) {
         return;
       }
-      next.payload.resolve(Ok(this._issuePermit(service, state)));
+      next.payload.resolve(Ok(this._issueDispatchSlot(service, state)));
     }
   }
 
@@ -171,14 +171,14 @@
     }
   }
 
-  private _issuePermit(service: string, state: IServiceState): IDisposable {
-    state.inProgress += 1;
+  private _issueDispatchSlot(service: string, state: IServiceState): IDisposable {
+    state.inProgressCount += 1;
     let isHeld = true;
     return {
       dispose: () => {
         if (isHeld) {
           isHeld = false;
-          state.inProgress -= 1;
+          state.inProgressCount -= 1;
           this._serveWaiting(service, state);
         }
       },
@@ -187,11 +187,11 @@
 
   /** True when another dispatch is within the bound. Bypasses the cached loads before a request waits. */
   private _hasCapacity(service: string, state: IServiceState, now: number): boolean {
-    if (state.inProgress < this._computeBound(service, state, now)) {
+    if (state.inProgressCount < this._computeBound(service, state, now)) {
       return true;
     }
     state.loadsReadAt = -Infinity;
-    return state.inProgress < this._computeBound(service, state, now);
+    return state.inProgressCount < this._computeBound(service, state, now);
   }
 
   /**
@@ -205,11 +205,11 @@
     if (state.targetCount === 0) {
       return Infinity;
     }
-    const maxPerTarget = this._options.maxRequestsPerTarget ?? MAX_REQUESTS_PER_TARGET;
-    const minPerTarget = Math.min(MIN_REQUESTS_PER_TARGET, maxPerTarget);
+    const maxRequestsPerTarget = this._options.maxRequestsPerTarget ?? MAX_REQUESTS_PER_TARGET;
+    const minRequestsPerTarget = Math.min(MIN_REQUESTS_PER_TARGET, maxRequestsPerTarget);
     return Math.max(
-      state.targetCount * minPerTarget,
-      state.targetCount * maxPerTarget - Math.ceil(state.otherEntriesLoad),
+      state.targetCount * minRequestsPerTarget,
+      state.targetCount * maxRequestsPerTarget - Math.ceil(state.otherEntriesLoad),
     );
   }
 
@@ -233,7 +233,7 @@
     if (state === undefined) {
       const queue = new FairQueue<IWaiter>(this._options.limits);
       state = {
-        ...{ queue, reports: new Map<string, ITargetReport>(), inProgress: 0 },
+        ...{ queue, reports: new Map<string, ITargetReport>(), inProgressCount: 0 },
         ...{ targetCount: 0, otherEntriesLoad: 0, loadsReadAt: -Infinity },
       };
       this._services.set(service, state);
--- a/src/admission/GrantWallet.test.ts
+++ b/src/admission/GrantWallet.test.ts
@@ -13,7 +13,7 @@
   type SyncGrantsCommand,
   type SyncGrantsResult,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { measureExcess, type IAdmission } from '../state/AdmissionBound.js';
+import { measureExcess, type IAdmittedRequest } from '../state/AdmissionBound.js';
 import { ControlState } from '../state/ControlState.js';
 import { Ledger } from '../state/Ledger.js';
 import { GRANT_LEASE_MS } from './AccountWallet.js';
@@ -58,7 +58,7 @@
 interface IFleetOptions {
   readonly rate: number;
   readonly burst: number;
-  readonly entries: number;
+  readonly entryCount: number;
   /** Share of the exchanges whose request is lost; the same share of the answers is lost. */
   readonly loss: number;
   /** Ratio of the demand to the rate. */
@@ -72,7 +72,7 @@
 }
 
 interface IFleetResult {
-  readonly admissions: IAdmission[];
+  readonly admissions: IAdmittedRequest[];
   readonly offered: number;
   readonly refused: number;
   /**
@@ -87,7 +87,7 @@
   pending: { command: SyncGrantsCommand; retryAtMs: number } | undefined;
   answer: SyncGrantsResult | undefined;
   nextSyncAtMs: number;
-  waitingRequests: { tokens: number; waiter: IDisposable; tries: number }[];
+  waitingRequests: { tokens: number; waiter: IDisposable; attempts: number }[];
 }
 
 interface IRunningRequest {
@@ -129,7 +129,7 @@
     this._control = new Control(_options.rate, _options.burst);
     this._random = createRandom(_options.seed);
     this._centralBucketLevel = _options.burst;
-    this._entries = Array.from({ length: _options.entries }, (_, index) => ({
+    this._entries = Array.from({ length: _options.entryCount }, (_, index) => ({
       wallet: new GrantWallet({ instance: `e${index}`, incarnation: Uint8Array.of(index) }),
       pending: undefined,
       answer: undefined,
@@ -157,17 +157,17 @@
   }
 
   private _admitArrivals(): void {
-    const { rate, load, reservedTokens, use, entries } = this._options;
+    const { rate, load, reservedTokens, use, entryCount } = this._options;
     const perTick = (rate * load * TICK_MS) / 1_000 / (reservedTokens * use);
     for (let left = perTick; left > this._random(); left -= 1) {
-      const busiest = Math.floor(this._nowMs / 1_000) % entries;
-      const position = this._random() < 2 / 3 ? busiest : Math.floor(this._random() * entries);
+      const busiest = Math.floor(this._nowMs / 1_000) % entryCount;
+      const position = this._random() < 2 / 3 ? busiest : Math.floor(this._random() * entryCount);
       const entry = this._entries[position];
       const tokens = Math.ceil(reservedTokens * (0.5 + this._random()));
       this._offered += 1;
       if (entry !== undefined && !this._admit(entry, tokens)) {
         const waiter = entry.wallet.addWaiter(ACCOUNT, tokens);
-        entry.waitingRequests.push({ tokens, waiter, tries: 0 });
+        entry.waitingRequests.push({ tokens, waiter, attempts: 0 });
       }
     }
   }
@@ -226,9 +226,9 @@
   /** Refuses a request after one exchange that was built after its arrival did not bring its tokens. */
   private _retryWaiting(entry: IEntryState): void {
     entry.waitingRequests = entry.waitingRequests.filter((request) => {
-      request.tries += 1;
+      request.attempts += 1;
       const isAdmitted = this._admit(entry, request.tokens);
-      const isRefused = !isAdmitted && request.tries > 1;
+      const isRefused = !isAdmitted && request.attempts > 1;
       if (isRefused) {
         this._refused += 1;
         this._wrongful += this._centralBucketLevel >= request.tokens ? 1 : 0;
@@ -244,7 +244,7 @@
 const MOVING_DEMAND: IFleetOptions = {
   rate: 20_000,
   burst: 40_000,
-  entries: 4,
+  entryCount: 4,
   loss: 0,
   load: 0.8,
   reservedTokens: 1_000,
@@ -260,7 +260,7 @@
       fc.record({
         rate: fc.integer({ min: 1_000, max: 50_000 }),
         burst: fc.integer({ min: 2_000, max: 50_000 }),
-        entries: fc.integer({ min: 1, max: 5 }),
+        entryCount: fc.integer({ min: 1, max: 5 }),
         loss: fc.constantFrom(0, 0.1, 0.5),
         load: fc.constantFrom(0.8, 2, 5),
         reservedTokens: fc.constantFrom(200, 1_000),
--- a/src/admission/GrantWallet.ts
+++ b/src/admission/GrantWallet.ts
@@ -47,7 +47,8 @@
  * // ... the request ran and used 900 tokens ...
  * wallet.settle(reservation, 900);
  * const command = wallet.buildSync(now);
- * wallet.applyResult(command, await control.syncGrants(command));
+ * // ... the control leader executed the command and answered with `result` ...
+ * wallet.applyResult(command, result);
  */
 export class GrantWallet {
   private readonly _accounts = new Map<string, AccountWallet>();
--- a/src/consensus/ConsensusStore.ts
+++ b/src/consensus/ConsensusStore.ts
@@ -93,7 +93,7 @@
       directory.path,
       undefined,
       'the data directory holds the state of a member',
-      'Use an empty directory to found a group.',
+      'Use an empty directory to bootstrap a group.',
     );
   }
 }
--- a/src/consensus/Follower.ts
+++ b/src/consensus/Follower.ts
@@ -127,7 +127,7 @@
     return this._respondToAppend(true, last);
   }
 
-  /** The entries from the first one on that is missing here or has another term here. */
+  /** The entries from the first one on that this log lacks or holds with another term. */
   private _selectMissing(entries: readonly LogEntry[]): readonly LogEntry[] {
     const { store, commitIndex } = this._state;
     const start = entries.findIndex((entry) => {
--- a/src/consensus/MembershipChanges.ts
+++ b/src/consensus/MembershipChanges.ts
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Removes the lost voter before it promotes the learner: the other order adds a voter while one is lost,
-   * and a majority of the larger group would need all the remaining voters.
+   * Removes the lost voter before it promotes the learner. In the other order a group of three would have
+   * four voters, one of them lost, and a majority would need all the other three.
    */
   private async _promote(
     leadership: Leadership,
@@ -277,7 +277,7 @@
     return listVoters(this._state.membership).length >= maxVoters;
   }
 
-  /** A voter that has not answered for `lostVoterMs`; undefined without a policy. */
+  /** A voter that has not answered for `lostVoterTimeoutMs`; undefined without a policy. */
   private _findLostVoter(leadership: Leadership): Member | undefined {
     const policy = this._policy;
     if (policy === undefined) {
--- a/src/consensus/RandomFaults.test.ts
+++ b/src/consensus/RandomFaults.test.ts
@@ -110,7 +110,9 @@
         const commands = await group.waitForAgreement();
         checkOrder(acknowledged, commands);
         for (const member of group.members.values()) {
-          await waitUntil('it applied all', () => member.machine.commands.includes('last'));
+          await waitUntil('the member applied all commands', () =>
+            member.machine.commands.includes('last'),
+          );
           expect(member.machine.commands).toEqual(commands);
         }
         expect(group.safetyViolations).toEqual([]);
--- a/src/consensus/ReplicatedLog.test.ts
+++ b/src/consensus/ReplicatedLog.test.ts
@@ -68,7 +68,10 @@
     cluster = await TestCluster.create(3);
     const leader = await cluster.waitForLeader();
     const follower = cluster.get(listFollowers(cluster, leader.id)[0] ?? '');
-    await waitUntil('it knows', () => follower.log.status.leaderAddress === leader.address);
+    await waitUntil(
+      'the follower knows the leader',
+      () => follower.log.status.leaderAddress === leader.address,
+    );
     const result = await follower.log.propose(Buffer.from('x'), FOREVER);
     expect(result.val).toMatchObject({ kind: 'not_leader', leaderAddress: leader.address });
     expect(follower.log.getConfirmedAt()).toBeUndefined();
@@ -185,7 +188,7 @@
     const [lost = '', survivor = ''] = listFollowers(cluster, leader.id);
     await cluster.kill(lost);
     await cluster.startMember('m4');
-    await waitUntil('the new member votes in place of the lost one', () => {
+    await waitUntil('the new member votes in place of the lost voter', () => {
       const members = group.findLeader()?.log.status.membership.members ?? [];
       const voters = members.filter((member) => member.voter).map((member) => member.id);
       return voters.length === 3 && voters.includes('m4') && !voters.includes(lost);
@@ -194,7 +197,7 @@
     await cluster.kill(survivor === leader.id ? leader.id : survivor);
     names.push(await cluster.commit('after the next loss'));
     await cluster.startMember(lost);
-    await waitUntil('the lost one votes again', () => {
+    await waitUntil('the lost voter votes again', () => {
       const members = group.findLeader()?.log.status.membership.members ?? [];
       return members.some((member) => member.id === lost && member.voter);
     });
@@ -359,9 +362,11 @@
     await cluster.waitForAgreement();
     for (const id of ['m1', 'm2', 'm3']) {
       await cluster.kill(id);
-      const folder = join(cluster.getPath(id), 'log');
-      const segments = (await readdir(folder)).filter((name) => name.endsWith('.segment')).sort();
-      await appendFile(join(folder, segments.at(-1) ?? ''), Buffer.from([9, 0, 0, 0, 1, 2, 3]));
+      const directory = join(cluster.getPath(id), 'log');
+      const segments = (await readdir(directory))
+        .filter((name) => name.endsWith('.segment'))
+        .sort();
+      await appendFile(join(directory, segments.at(-1) ?? ''), Buffer.from([9, 0, 0, 0, 1, 2, 3]));
     }
     for (const id of ['m1', 'm2', 'm3']) {
       await cluster.startMember(id);
@@ -426,7 +431,10 @@
     const leader = await cluster.waitForLeader();
     const [one = '', two = ''] = listFollowers(cluster, leader.id);
     const follower = cluster.get(one);
-    await waitUntil('it knows', () => follower.log.status.leaderAddress === leader.address);
+    await waitUntil(
+      'the follower knows the leader',
+      () => follower.log.status.leaderAddress === leader.address,
+    );
     const { term, clusterId } = follower.log.status;
     const { diskId } = cluster.get(two).log.status;
     const sender = { clusterId, term: BigInt(term), memberId: two, diskId };
--- a/src/consensus/ReplicatedLog.ts
+++ b/src/consensus/ReplicatedLog.ts
@@ -73,7 +73,7 @@
  * directory without its lock file, see `DataDirectory.open`.
  *
  * @example
- * const founded = await initialiseDataFolder('/data', 'control-1', '10.0.0.1:7000');
+ * const bootstrapped = await bootstrapDataDirectory('/data', 'control-1', '10.0.0.1:7000');
  */
 export async function bootstrapDataDirectory(
   path: string,
--- a/src/consensus/TestCluster.ts
+++ b/src/consensus/TestCluster.ts
@@ -233,8 +233,8 @@
   ): Promise<TestCluster> {
     const root = await mkdtemp(join(tmpdir(), 'redwingwharf-consensus-'));
     const cluster = new TestCluster(root, createRandom(seed), timings, createMachine, policy);
-    const founded = await bootstrapDataDirectory(cluster.getPath('m1'), 'm1', 'node-1');
-    founded.unwrap();
+    const bootstrapped = await bootstrapDataDirectory(cluster.getPath('m1'), 'm1', 'node-1');
+    bootstrapped.unwrap();
     for (let n = 1; n <= size; n += 1) {
       await cluster.startMember(`m${n}`);
     }
--- a/src/consensus/Transport.test.ts
+++ b/src/consensus/Transport.test.ts
@@ -52,7 +52,7 @@
   root: string,
   id: string,
   peers: readonly string[],
-  isFounder: boolean,
+  isFirstMember: boolean,
 ): Promise<{ log: ReplicatedLog; machine: ListMachine; address: string }> {
   const running: { log?: ReplicatedLog } = {};
   const address = await listen(() => {
@@ -61,7 +61,7 @@
     }
     return running.log.handlers;
   });
-  if (isFounder) {
+  if (isFirstMember) {
     (await bootstrapDataDirectory(join(root, id), id, address)).unwrap();
   }
   const clients = new RpcClients('secret');
@@ -104,13 +104,13 @@
     }
     const others = ['m2', 'm3'].map((id) => startMember(root, id, [first.address], false));
     const members = await Promise.all(others);
-    await waitUntil('all are voters', () => {
+    await waitUntil('all members are voters', () => {
       const { members: current } = first.log.status.membership;
       return current.length === 3 && current.every((member) => member.voter);
     });
     (await first.log.propose(Buffer.from('small'), signal)).unwrap();
     for (const { machine } of members) {
-      await waitUntil('it applied all', () => machine.commands.at(-1) === 'small');
+      await waitUntil('the member applied all commands', () => machine.commands.at(-1) === 'small');
       expect(machine.commands).toEqual(first.machine.commands);
       expect(machine.restoreCount).toBeGreaterThan(0);
     }
--- a/src/control/ControlClient.ts
+++ b/src/control/ControlClient.ts
@@ -63,11 +63,11 @@
 
 /** Outcomes of the attempts at one command so far. */
 interface IProgress {
-  /** True once a member answered that it is not the leader. */
+  /** True once a member answered that it did not run the command. */
   hasAnswer: boolean;
   /** Set once an attempt had an unknown outcome; the command may have run. */
   indeterminateReason: string | undefined;
-  /** Why the last member that could not be reached was not reached. */
+  /** Address and cause of the last failure to connect to a member. */
   unreachableReason: string;
   /** Time at which attempts end, by `performance.now()`. */
   readonly deadline: number;
--- a/src/control/ControlNode.ts
+++ b/src/control/ControlNode.ts
@@ -23,8 +23,8 @@
 const COMMIT_TIMEOUT_MS = 1_500;
 
 /**
- * Admission limit of commands that wait for their commit. A commit takes milliseconds, so with more of
- * them waiting the later ones would only time out.
+ * Maximum number of commands that wait for their commit; further ones are refused. A commit takes
+ * milliseconds, so with more of them waiting the later ones would only time out.
  */
 const MAX_PENDING_COMMANDS = 2_000;
 
--- a/src/state/AdmissionBound.ts
+++ b/src/state/AdmissionBound.ts
@@ -1,7 +1,7 @@
 /** Checks the guarantee on rates and bursts in tests of the ledger and of the wallet. */
 
 /** Tokens finally used by one request, counted at the instant of its admission. */
-export interface IAdmission {
+export interface IAdmittedRequest {
   readonly atMs: number;
   /** Reserved tokens, less those that the settlement found unused. */
   readonly usedTokens: number;
@@ -15,7 +15,7 @@
  * Largest excess over rate x time + burst among all pairs of admissions, both included. At most zero
  * when the guarantee holds; minus infinity without admissions.
  */
-export function measureExcess(admissions: readonly IAdmission[]): number {
+export function measureExcess(admissions: readonly IAdmittedRequest[]): number {
   const ordered = [...admissions].sort((left, right) => left.atMs - right.atMs);
   let usedBefore = 0;
   let maxExcess = -Infinity;
--- a/src/state/Claims.test.ts
+++ b/src/state/Claims.test.ts
@@ -8,7 +8,7 @@
   type ClaimResult,
   type SettleClaimCommand,
 } from '../gen/redwingwharf/v1/state_pb.js';
-import { CLAIM_RETENTION_MS, Claims, MAX_BODY_BYTES } from './Claims.js';
+import { CLAIM_RETENTION_MS, Claims, MAX_RECORDED_BODY_BYTES } from './Claims.js';
 
 interface IClaimOptions {
   readonly key?: string;
@@ -145,7 +145,7 @@
   it('does not record a body above the limit for a single answer', () => {
     const claims = new Claims();
     const claim = claims.claim(buildClaim('r1'), 1, 0);
-    const result = claims.settle(buildAnswer(claim, 200, MAX_BODY_BYTES + 1), 0);
+    const result = claims.settle(buildAnswer(claim, 200, MAX_RECORDED_BODY_BYTES + 1), 0);
     expect(result.answer).toMatchObject({ status: 200, bodyOmitted: true });
     expect(claims.totalBodyBytes).toBe(0);
   });
--- a/src/state/Claims.ts
+++ b/src/state/Claims.ts
@@ -28,7 +28,7 @@
 export const MAX_CLAIMS = 100_000;
 
 /** Largest answer body that is recorded. */
-export const MAX_BODY_BYTES = 64 * 1024;
+export const MAX_RECORDED_BODY_BYTES = 64 * 1024;
 
 /** Limit for all recorded answer bodies together. */
 export const MAX_TOTAL_BODY_BYTES = 32 * 1024 * 1024;
@@ -103,7 +103,7 @@
   if (answer === undefined) {
     return undefined;
   }
-  const isTooLarge = answer.body.length > MAX_BODY_BYTES;
+  const isTooLarge = answer.body.length > MAX_RECORDED_BODY_BYTES;
   return { state: ClaimState.SETTLED, answer: isTooLarge ? copyWithoutBody(answer) : answer };
 }
 
--- a/src/storage/DataDirectory.ts
+++ b/src/storage/DataDirectory.ts
@@ -7,7 +7,7 @@
 
 const LOCK_FILE = 'lock';
 
-const LOG_FOLDER = 'log';
+const LOG_DIRECTORY = 'log';
 
 /** The operations on a data directory that the consensus module uses. */
 export interface IDataDirectory {
@@ -63,11 +63,11 @@
   }
 
   public hasLog(): Promise<boolean> {
-    return RecordLog.isPresent(join(this.path, LOG_FOLDER));
+    return RecordLog.isPresent(join(this.path, LOG_DIRECTORY));
   }
 
   public openLog(options?: IRecordLogOptions): Promise<IOpenedLog> {
-    return RecordLog.open(join(this.path, LOG_FOLDER), options);
+    return RecordLog.open(join(this.path, LOG_DIRECTORY), options);
   }
 
   /** Releases the lock. The caller closes the log first. */
--- a/src/storage/RecordLog.test.ts
+++ b/src/storage/RecordLog.test.ts
@@ -6,14 +6,14 @@
 import { RecordLog } from './RecordLog.js';
 import { StorageError } from './StorageError.js';
 
-let folder: string;
+let directory: string;
 
 beforeEach(async () => {
-  folder = await mkdtemp(join(tmpdir(), 'redwingwharf-log-'));
+  directory = await mkdtemp(join(tmpdir(), 'redwingwharf-log-'));
 });
 
 afterEach(async () => {
-  await rm(folder, { recursive: true, force: true });
+  await rm(directory, { recursive: true, force: true });
 });
 
 function encode(text: string): Uint8Array {
@@ -21,22 +21,22 @@
 }
 
 async function readAll(): Promise<string[]> {
-  const { log, records } = await RecordLog.open(folder);
+  const { log, records } = await RecordLog.open(directory);
   await log.close();
   return records.map((record) => Buffer.from(record).toString());
 }
 
 /** Paths of the segment files in order. */
 async function listSegments(): Promise<string[]> {
-  const names = await readdir(folder);
+  const names = await readdir(directory);
   return names
     .filter((name) => name.endsWith('.segment'))
     .sort()
-    .map((name) => join(folder, name));
+    .map((name) => join(directory, name));
 }
 
 async function writeBatches(batches: readonly (readonly string[])[]): Promise<void> {
-  const { log } = await RecordLog.open(folder, { segmentBytes: 128 });
+  const { log } = await RecordLog.open(directory, { segmentBytes: 128 });
   for (const batch of batches) {
     await log.append(batch.map(encode));
   }
@@ -62,11 +62,11 @@
 
 /** Appends a batch as if a crash interrupted it before its sync: the sync mark is before it. */
 async function appendUnsynced(texts: readonly string[]): Promise<{ path: string; start: number }> {
-  const markPath = join(folder, 'synced');
+  const markPath = join(directory, 'synced');
   const mark = await readFile(markPath);
   const path = (await listSegments()).at(-1) ?? '';
   const start = (await readFile(path)).length;
-  const { log } = await RecordLog.open(folder);
+  const { log } = await RecordLog.open(directory);
   await log.append(texts.map(encode));
   await log.close();
   await writeFile(markPath, mark);
@@ -78,13 +78,13 @@
   { minLength: 1, maxLength: 8 },
 );
 
-async function runInFreshFolder(body: () => Promise<void>): Promise<void> {
-  const parent = folder;
-  folder = await mkdtemp(join(parent, 'run-'));
+async function runInFreshDirectory(body: () => Promise<void>): Promise<void> {
+  const parent = directory;
+  directory = await mkdtemp(join(parent, 'run-'));
   try {
     await body();
   } finally {
-    folder = parent;
+    directory = parent;
   }
 }
 
@@ -95,8 +95,8 @@
     expect((await listSegments()).length).toBeGreaterThan(1);
   });
 
-  it('writes concurrent appends in batches, so that they share syncs', async () => {
-    const { log } = await RecordLog.open(folder);
+  it('writes concurrent appends in batches, so that throughput is not limited to one append per sync', async () => {
+    const { log } = await RecordLog.open(directory);
     const appends = Array.from({ length: 500 }, (_, n) => log.append([encode(String(n))]));
     await Promise.all(appends);
     await log.close();
@@ -122,7 +122,7 @@
         fc.nat(),
         fc.integer({ min: 1, max: 255 }),
         async (batches, fileSeed, byteSeed, xor) => {
-          await runInFreshFolder(async () => {
+          await runInFreshDirectory(async () => {
             await writeBatches(batches);
             const segments = await listSegments();
             const path = segments[fileSeed % segments.length] ?? '';
@@ -141,7 +141,7 @@
   it('refuses a segment truncated within synced data instead of taking it for a torn tail', async () => {
     await fc.assert(
       fc.asyncProperty(batchesArbitrary, fc.nat(), fc.nat(), async (batches, fileSeed, cut) => {
-        await runInFreshFolder(async () => {
+        await runInFreshDirectory(async () => {
           await writeBatches(batches);
           const segments = await listSegments();
           const path = segments[fileSeed % segments.length] ?? '';
@@ -161,7 +161,7 @@
         fc.nat(),
         fc.integer({ min: 0, max: 255 }),
         async (batches, unsynced, position, xor) => {
-          await runInFreshFolder(async () => {
+          await runInFreshDirectory(async () => {
             await writeBatches(batches);
             const synced = batches.flat();
             const { path, start } = await appendUnsynced(unsynced);
@@ -187,9 +187,9 @@
 
   it('refuses damage before a later batch even if the sync mark is behind, as after a power loss', async () => {
     await writeBatches([['first']]);
-    const mark = await readFile(join(folder, 'synced'));
+    const mark = await readFile(join(directory, 'synced'));
     await writeBatches([['second'], ['third']]);
-    await writeFile(join(folder, 'synced'), mark);
+    await writeFile(join(directory, 'synced'), mark);
     const path = (await listSegments())[0] ?? '';
     const offset = (await readFile(path)).indexOf('second');
     await replaceByte(path, offset, 1);
@@ -200,7 +200,7 @@
 
   it('refuses a missing segment in the middle and at the end, but not at the start', async () => {
     for (const position of [0, 1, -1]) {
-      await runInFreshFolder(async () => {
+      await runInFreshDirectory(async () => {
         await writeBatches([['a'.repeat(150)], ['b'.repeat(150)], ['c'.repeat(150)], ['d']]);
         const path = (await listSegments()).at(position) ?? '';
         await unlink(path);
@@ -213,7 +213,7 @@
 
   it('opens with one damaged copy of the sync mark, but refuses if both are damaged or the file is missing', async () => {
     await writeBatches([['first'], ['second']]);
-    const path = join(folder, 'synced');
+    const path = join(directory, 'synced');
     const mark = await readFile(path);
     for (const start of [0, 512]) {
       await replaceByte(path, start + 16, 1);
@@ -228,7 +228,7 @@
   });
 
   it('keeps indexes consistent after truncation, prefix deletion and reset', async () => {
-    const { log } = await RecordLog.open(folder, { segmentBytes: 64 });
+    const { log } = await RecordLog.open(directory, { segmentBytes: 64 });
     for (let n = 1; n <= 20; n += 1) {
       await log.append([encode(`record ${n}`)]);
     }
@@ -244,7 +244,7 @@
     expect(records[0]).toBe(`record ${first}`);
     expect(records.at(-1)).toBe('replaced 15');
 
-    const opened = await RecordLog.open(folder);
+    const opened = await RecordLog.open(directory);
     await opened.log.reset(100);
     await opened.log.append([encode('record 100')]);
     await opened.log.close();
@@ -252,7 +252,7 @@
   });
 
   it('rejects appends after the log was closed', async () => {
-    const { log } = await RecordLog.open(folder);
+    const { log } = await RecordLog.open(directory);
     await log.close();
     await expect(log.append([encode('late')])).rejects.toMatchObject({ kind: 'io_failed' });
   });
--- a/src/storage/RecordLog.ts
+++ b/src/storage/RecordLog.ts
@@ -68,7 +68,8 @@
 
 /**
  * Appends records with consecutive indexes, batches concurrent appends, and drops records at either end.
- * Operations run one after another; after a failed one the log fails all later ones.
+ * Operations run one after another; after a failed one the log fails all later ones, so that no append is
+ * acknowledged on a faulty disk.
  *
  * @example
  * const { log, records } = await RecordLog.open('/data/log');
@@ -81,28 +82,31 @@
   private _handle: FileHandle | undefined;
 
   private constructor(
-    private readonly _folder: string,
+    private readonly _directory: string,
     private readonly _segmentBytes: number,
     private readonly _syncMark: SyncMark,
     private readonly _segments: ISegment[],
   ) {}
 
-  /** True if a log was ever created in the folder. */
-  public static async isPresent(folder: string): Promise<boolean> {
-    const names = await readdir(folder).catch(() => []);
+  /** True if a log was ever created in the directory. */
+  public static async isPresent(directory: string): Promise<boolean> {
+    const names = await readdir(directory).catch(() => []);
     return names.some((name) => name === SYNC_MARK_FILE || name.endsWith(SEGMENT_SUFFIX));
   }
 
   /** Opens or creates a log. Throws a `StorageError` on damage to synced data. */
-  public static async open(folder: string, options: IRecordLogOptions = {}): Promise<IOpenedLog> {
-    await mkdir(folder, { recursive: true });
-    const names = await listSegmentFiles(folder);
-    const mark = await openSyncMark(folder, names);
+  public static async open(
+    directory: string,
+    options: IRecordLogOptions = {},
+  ): Promise<IOpenedLog> {
+    await mkdir(directory, { recursive: true });
+    const names = await listSegmentFiles(directory);
+    const mark = await openSyncMark(directory, names);
     try {
-      const recovered = await recoverSegments(folder, names, mark.position);
+      const recovered = await recoverSegments(directory, names, mark.position);
       const segments = recovered.map((entry) => entry.segment);
       const segmentBytes = options.segmentBytes ?? DEFAULT_SEGMENT_BYTES;
-      const log = new RecordLog(folder, segmentBytes, mark, segments);
+      const log = new RecordLog(directory, segmentBytes, mark, segments);
       await log._openLastSegment();
       return { log, records: recovered.flatMap((entry) => entry.payloads) };
     } catch (error) {
@@ -210,7 +214,7 @@
 
   private _createFailure(problem: string): StorageError {
     const remedy = 'Check the disk and restart this member.';
-    return new StorageError('io_failed', this._folder, undefined, problem, remedy);
+    return new StorageError('io_failed', this._directory, undefined, problem, remedy);
   }
 
   private async _writeBatch(payloads: readonly Uint8Array[]): Promise<void> {
@@ -259,7 +263,7 @@
   private async _createSegment(firstIndex: number): Promise<ISegment> {
     const header = { firstIndex, salt: randomBytes(4).readUInt32LE() };
     const name = String(firstIndex).padStart(INDEX_DIGITS, '0') + SEGMENT_SUFFIX;
-    const path = join(this._folder, name);
+    const path = join(this._directory, name);
     await replaceFile(path, [encodeSegmentHeader(header)]);
     const segment = { ...header, path, offsets: [], size: SEGMENT_HEADER_BYTES };
     await this._handle?.close();
@@ -328,7 +332,7 @@
   private async _deleteSegment(segment: ISegment | undefined): Promise<void> {
     if (segment !== undefined) {
       await unlink(segment.path);
-      await syncDirectory(this._folder);
+      await syncDirectory(this._directory);
     }
   }
 }
@@ -338,16 +342,16 @@
 }
 
 /** Names of the segment files in index order. Deletes files whose creation a crash interrupted. */
-async function listSegmentFiles(folder: string): Promise<string[]> {
-  const names = await readdir(folder);
+async function listSegmentFiles(directory: string): Promise<string[]> {
+  const names = await readdir(directory);
   for (const name of names.filter((candidate) => candidate.endsWith(TEMPORARY_SUFFIX))) {
-    await unlink(join(folder, name));
+    await unlink(join(directory, name));
   }
   return names.filter((name) => name.endsWith(SEGMENT_SUFFIX)).sort();
 }
 
-async function openSyncMark(folder: string, segmentNames: readonly string[]): Promise<SyncMark> {
-  const path = join(folder, SYNC_MARK_FILE);
+async function openSyncMark(directory: string, segmentNames: readonly string[]): Promise<SyncMark> {
+  const path = join(directory, SYNC_MARK_FILE);
   const mark = await SyncMark.open(path);
   if (mark !== undefined) {
     return mark;
@@ -364,13 +368,13 @@
 }
 
 async function recoverSegments(
-  folder: string,
+  directory: string,
   names: readonly string[],
   synced: ISyncedPosition,
 ): Promise<IRecoveredSegment[]> {
   const recovered: IRecoveredSegment[] = [];
   for (const name of names) {
-    const next = await recoverSegment(join(folder, name));
+    const next = await recoverSegment(join(directory, name));
     const previous = recovered.at(-1)?.segment;
     if (previous !== undefined) {
       checkSequence(previous, next.segment);
@@ -382,7 +386,10 @@
   });
   const last = recovered.at(-1)?.segment;
   if (synced.segment > (last?.firstIndex ?? 0)) {
-    const path = join(folder, String(synced.segment).padStart(INDEX_DIGITS, '0') + SEGMENT_SUFFIX);
+    const path = join(
+      directory,
+      String(synced.segment).padStart(INDEX_DIGITS, '0') + SEGMENT_SUFFIX,
+    );
     throw createDamageError(path, undefined, 'a synced segment file is missing');
   }
   return recovered;
