--- a/model/claims.qnt
+++ b/model/claims.qnt
@@ -83,7 +83,7 @@
   var effects: List[Effect]
   var answers: Set[{ attempt: int, key: int, response: int }]
   // Attempts whose caller received "not run".
-  var toldNotRun: Set[int]
+  var answeredNotRun: Set[int]
   // Attempts that began when the key already had an effect.
   var beganAfterEffect: Set[int]
 
@@ -110,7 +110,7 @@
     }),
     effects' = [],
     answers' = Set(),
-    toldNotRun' = Set(),
+    answeredNotRun' = Set(),
     beganAfterEffect' = Set(),
   }
 
@@ -127,7 +127,7 @@
 
   action keepHistory = all {
     answers' = answers,
-    toldNotRun' = toldNotRun,
+    answeredNotRun' = answeredNotRun,
     beganAfterEffect' = beganAfterEffect,
   }
 
@@ -151,7 +151,7 @@
         if (a.phase == Idle and hasEffect(key)) beganAfterEffect.union(Set(id))
         else beganAfterEffect,
       answers' = answers,
-      toldNotRun' = toldNotRun,
+      answeredNotRun' = answeredNotRun,
       keepControl,
       keepSidecars,
       keepMessages,
@@ -428,7 +428,7 @@
       answers' = answers.union(Set({ attempt: id, key: a.key, response: response })),
       lastToken' = lastToken,
       slow' = slow,
-      toldNotRun' = toldNotRun,
+      answeredNotRun' = answeredNotRun,
       beganAfterEffect' = beganAfterEffect,
       keepSidecars,
       keepMessages,
@@ -448,7 +448,7 @@
         a.phase == Waiting and VARIANT == "refuseWithoutProof",
       },
       attempts' = attempts.set(id, { ...a, phase: Ended }),
-      toldNotRun' = toldNotRun.union(Set(id)),
+      answeredNotRun' = answeredNotRun.union(Set(id)),
       answers' = answers,
       beganAfterEffect' = beganAfterEffect,
       keepControl,
@@ -497,12 +497,12 @@
   val atMostOnce: bool = KEYS.forall(k => effects.select(e => e.key == k).length() <= 1)
 
   // No ticket of an attempt that ended with "not run" has an effect, before or after the refusal.
-  val notRunIsTrue: bool = toldNotRun.forall(id =>
+  val notRunIsTrue: bool = answeredNotRun.forall(id =>
     effects.select(e => attempts.get(id).tokens.contains(e.token)).length() == 0
   )
 
   // An attempt ends with "not run" only if no earlier attempt with its key had run when it began.
-  val notRunForKey: bool = toldNotRun.intersect(beganAfterEffect) == Set()
+  val notRunForKey: bool = answeredNotRun.intersect(beganAfterEffect) == Set()
 
   // Each answer is the response of an effect with the same key.
   val answerIsOfEffect: bool = answers.forall(a => and {
@@ -514,7 +514,7 @@
   // Witnesses: states that some runs must reach, so that the invariants are not only checked on trivial
   // runs.
   val ranAfterRebinding: bool = effects.select(e => e.token > 1).length() > 0
-  val wasRefused: bool = toldNotRun != Set()
+  val wasRefused: bool = answeredNotRun != Set()
   val wasReplayed: bool = answers.exists(a => attempts.get(a.attempt).tokens == Set())
   val lateTicketWasRefused: bool = replies.exists(r =>
     r.outcome == NotRun and effects.select(e => e.token > r.token).length() > 0)
--- a/model/consensus.qnt
+++ b/model/consensus.qnt
@@ -246,18 +246,18 @@
       val k = able.fold(0, (a, b) => max(a, b))
       val entries = d.log.slice(0, k)
       val isNew = k > committed.length()
-      val news = if (isNew) entries.slice(committed.length(), k) else []
+      val newEntries = if (isNew) entries.slice(committed.length(), k) else []
       all {
         disks' = disks.set(i, { ...d, commit: k }),
-        committed' = committed.concat(news),
-        committedIn' = committedIn.concat(news.foldl([], (list, _) => list.append(d.term))),
+        committed' = committed.concat(newEntries),
+        committedIn' = committedIn.concat(newEntries.foldl([], (list, _) => list.append(d.term))),
         isReplaced' = or {
           isReplaced,
           entries.slice(0, min(k, committed.length())) !=
             committed.slice(0, min(k, committed.length())),
         },
         // The commit of the new disk's promotion completes the repair; then another disk may be lost.
-        lossesLeft' = if (news.select(e => e.promoted != 0).length() > 0) 1 else lossesLeft,
+        lossesLeft' = if (newEntries.select(e => e.promoted != 0).length() > 0) 1 else lossesLeft,
         leaders' = leaders,
       },
     },
@@ -294,7 +294,7 @@
   }
 
   // Other identities of the same member among the voters: the same member id with another disk.
-  def oldPairs(i: int, voters: Set[int]): Set[int] =
+  def oldIdentities(i: int, voters: Set[int]): Set[int] =
     voters.filter(v => v != i and disks.get(v).member == disks.get(i).member)
 
   // Removes the old identity of a member that returned with a new disk.
@@ -304,7 +304,7 @@
     val d = disks.get(i)
     val old = votersOf(d).filter(v => not(disks.get(v).isAlive) and or {
       VARIANT != "removalAfterPromotion",
-      oldPairs(v, votersOf(d)) != Set(),
+      oldIdentities(v, votersOf(d)) != Set(),
     })
     all {
       mayChange(d),
@@ -319,7 +319,7 @@
     nondet i = leading.oneOf()
     val d = disks.get(i)
     val able = alive.exclude(votersOf(d)).exclude(learnersOf(d)).filter(n => or {
-      oldPairs(n, votersOf(d)) == Set(),
+      oldIdentities(n, votersOf(d)) == Set(),
       VARIANT == "removalAfterPromotion",
     })
     all {
--- a/model/grants.qnt
+++ b/model/grants.qnt
@@ -54,7 +54,7 @@
   var outstanding: int
   var grants: List[Grant]
   // Epoch limits: upper limits for level plus outstanding in refunds of grants of an epoch.
-  var shadows: int -> int
+  var epochLimits: int -> int
   // Messages that are sent to the ledger; each may arrive at any time or never.
   var messages: Set[Message]
   var admissions: List[Admission]
@@ -70,7 +70,7 @@
       level' = BURST,
       outstanding' = 0,
       grants' = [],
-      shadows' = Map(0 -> BURST),
+      epochLimits' = Map(0 -> BURST),
       messages' = Set(),
       admissions' = [],
       admittedSince' = Map(0 -> 0),
@@ -81,7 +81,7 @@
     level' = level,
     outstanding' = outstanding,
     grants' = grants,
-    shadows' = shadows,
+    epochLimits' = epochLimits,
   }
 
   action keepTime = all { now' = now, logical' = logical, pace' = pace }
@@ -107,8 +107,8 @@
       if (t == logical) level
       else if (VARIANT == "outstandingNotCounted") refill(level)
       else refill(level + o) - o
-    val levels = shadows.keys().mapBy(e => {
-      val s = shadows.get(e) - gone
+    val levels = epochLimits.keys().mapBy(e => {
+      val s = epochLimits.get(e) - gone
       if (t == logical) s else refill(s)
     })
     val epoch = t / EPOCH
@@ -120,7 +120,7 @@
       level' = l,
       grants' = grants.foldl([], (list, g) =>
         list.append(if (isExpired(g, t)) { ...g, left: 0 } else g)),
-      shadows' = (if (levels.keys().contains(epoch)) levels else levels.put(epoch, BURST))
+      epochLimits' = (if (levels.keys().contains(epoch)) levels else levels.put(epoch, BURST))
         .keys().filter(e => e > epoch - EPOCHS_KEPT)
         .mapBy(e => if (levels.keys().contains(e)) levels.get(e) else BURST),
       admittedSince' = admittedSince.put(now + 1, 0),
@@ -161,7 +161,7 @@
       messages' = messages,
       level' = level,
       outstanding' = outstanding,
-      shadows' = shadows,
+      epochLimits' = epochLimits,
       keepTime,
     },
   }
@@ -183,7 +183,7 @@
   }
 
   // An entry returns the unspent tokens of a grant and can't spend them any more.
-  action giveBack: bool = all {
+  action returnTokens: bool = all {
     grants.length() > 0,
     nondet index = grants.indices().oneOf()
     val g = grants[index]
@@ -195,7 +195,7 @@
       messages' = messages.union(Set(Returned({ grant: index, amount: free }))),
       level' = level,
       outstanding' = outstanding,
-      shadows' = shadows,
+      epochLimits' = epochLimits,
       keepTime,
       keepEntries,
     },
@@ -251,21 +251,21 @@
               outstanding' =
                 if (grants.length() >= MAX_GRANTS) outstanding else outstanding + max(0, amount),
             },
-            shadows' = shadows,
+            epochLimits' = epochLimits,
             admissions' = admissions,
           }
         | Spent(m) => {
             val g = grants[m.grant]
-            val news =
+            val newlySpent =
               if (VARIANT == "duplicateReport") m.total else max(0, m.total - g.reported)
             val used =
-              if (VARIANT == "duplicateReport" or VARIANT == "lateReport") min(outstanding, news)
-              else min(g.left, news)
+              if (VARIANT == "duplicateReport" or VARIANT == "lateReport") min(outstanding, newlySpent)
+              else min(g.left, newlySpent)
             all {
               grants' = grants.replaceAt(m.grant,
                 { ...g, reported: max(g.reported, m.total), left: max(0, g.left - used) }),
               outstanding' = outstanding - used,
-              shadows' = shadows.keys().mapBy(e => shadows.get(e) - used),
+              epochLimits' = epochLimits.keys().mapBy(e => epochLimits.get(e) - used),
               level' = level,
               admissions' = admissions,
             }
@@ -281,14 +281,14 @@
               grants' = grants.replaceAt(m.grant, { ...g, isReturned: true, left: max(0, g.left - back) }),
               outstanding' = outstanding - back,
               level' = level + back,
-              shadows' = shadows,
+              epochLimits' = epochLimits,
               admissions' = admissions,
             }
           }
         | Refund(m) => {
             val a = admissions[m.admission]
             val epoch = grants[a.grant].epoch
-            val isKept = shadows.keys().contains(epoch)
+            val isKept = epochLimits.keys().contains(epoch)
             val isApplied = and {
               isKept or VARIANT == "plainRefund",
               not(a.isRefunded) or VARIANT == "duplicateRefund",
@@ -296,15 +296,15 @@
             val p = level + outstanding
             val cap =
               if (VARIANT == "plainRefund") BURST
-              else if (isKept) shadows.get(epoch)
+              else if (isKept) epochLimits.get(epoch)
               else 0
             all {
               level' = if (isApplied) max(p, min(p + m.amount, cap)) - outstanding else level,
-              shadows' =
-                if (not(isApplied)) shadows
-                else shadows.keys().mapBy(e =>
-                  if (e < epoch) max(shadows.get(e), min(shadows.get(e) + m.amount, cap))
-                  else shadows.get(e)),
+              epochLimits' =
+                if (not(isApplied)) epochLimits
+                else epochLimits.keys().mapBy(e =>
+                  if (e < epoch) max(epochLimits.get(e), min(epochLimits.get(e) + m.amount, cap))
+                  else epochLimits.get(e)),
               admissions' = admissions.replaceAt(m.admission, { ...a, isRefunded: true }),
               outstanding' = outstanding,
               grants' = grants,
@@ -327,7 +327,7 @@
       all { chance == 1, settle },
       all { chance * pace <= 4, admit },
       all { chance >= 3, want },
-      all { chance == 1, giveBack },
+      all { chance == 1, returnTokens },
     }
   }
 
@@ -351,10 +351,10 @@
         val epoch = grants[admissions[m.admission].grant].epoch
         and {
           not(admissions[m.admission].isRefunded),
-          shadows.keys().contains(epoch),
-          shadows.keys().contains(epoch) implies and {
-            shadows.get(epoch) < BURST,
-            level + outstanding + m.amount > shadows.get(epoch),
+          epochLimits.keys().contains(epoch),
+          epochLimits.keys().contains(epoch) implies and {
+            epochLimits.get(epoch) < BURST,
+            level + outstanding + m.amount > epochLimits.get(epoch),
           },
         }
       }
